--- a/admission/src/main/java/org/agatefield/admission/DrainMeter.java
+++ b/admission/src/main/java/org/agatefield/admission/DrainMeter.java
@@ -49,7 +49,7 @@
   }
 
   /** Learns from a request that was answered whole. */
-  void measured(double cost, long serviceNanoseconds, long nowNanoseconds) {
+  void recordServiceTime(double cost, long serviceNanoseconds, long nowNanoseconds) {
     measuredNanoseconds = nowNanoseconds;
     double perCost = serviceNanoseconds / cost;
     nanosecondsPerCost = nanosecondsPerCost == 0 ? perCost : smooth(nanosecondsPerCost, perCost);
