--- a/admission/src/main/java/org/agatefield/admission/DrainMeter.java
+++ b/admission/src/main/java/org/agatefield/admission/DrainMeter.java
@@ -35,9 +35,9 @@
   void observe(boolean nowBacklogged, long nowNanoseconds) {
     if (backlogged) {
       double elapsed = Math.max(0, nowNanoseconds - observedNanoseconds);
-      double kept = Math.exp(-elapsed / DRAIN_WINDOW_NANOSECONDS);
-      departures *= kept;
-      backloggedNanoseconds = backloggedNanoseconds * kept + elapsed;
+      double decay = Math.exp(-elapsed / DRAIN_WINDOW_NANOSECONDS);
+      departures *= decay;
+      backloggedNanoseconds = backloggedNanoseconds * decay + elapsed;
     }
     observedNanoseconds = nowNanoseconds;
     backlogged = nowBacklogged;
--- a/admission/src/main/java/org/agatefield/admission/QuotaBuckets.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBuckets.java
@@ -37,13 +37,15 @@
     return tracked.bucket;
   }
 
-  /** Removes the buckets that were not used recently, unless {@code kept} accepts their account. */
-  public void removeUnused(Predicate<String> kept, long nowMilliseconds) {
+  /**
+   * Removes the buckets that were not used recently, unless {@code isHeld} accepts their account.
+   */
+  public void removeUnused(Predicate<String> isHeld, long nowMilliseconds) {
     buckets
         .entrySet()
         .removeIf(
             entry ->
-                !kept.test(entry.getKey())
+                !isHeld.test(entry.getKey())
                     && nowMilliseconds - entry.getValue().usedAt > UNUSED_RETENTION_MILLISECONDS);
   }
 
