--- a/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
@@ -12,7 +12,8 @@
 public final class QuotaBucket {
   // A bucket filled to this share grants a request that is larger than its capacity.
   private static final double NEARLY_FULL_SHARE = 0.95;
-  private static final double LARGEST_GRANT_CAPACITIES = 2; // larger requests need a loan
+  // In multiples of the capacity; larger requests need a loan from other instances.
+  private static final double LARGEST_GRANT_CAPACITIES = 2;
   private static final double MILLISECONDS_PER_SECOND = 1_000;
 
   private static final double UNMET_DECAY_MILLISECONDS = 250; // typical delay of retries
--- a/admission/src/main/java/org/agatefield/admission/WindowedRetryBudget.java
+++ b/admission/src/main/java/org/agatefield/admission/WindowedRetryBudget.java
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Retries are counted for one bucket more than requests, so that the limit holds for every span
-   * of the length of a window.
+   * Advances to the current bucket. Retries are counted for one bucket more than requests, so that
+   * the limit holds for every span of the length of a window.
    */
   private void advance(long nowMilliseconds) {
     long bucket = nowMilliseconds / bucketMilliseconds;
--- a/forwarding/src/main/java/org/agatefield/forwarding/EarliestStartChooser.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/EarliestStartChooser.java
@@ -6,8 +6,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Chooses the runner whose answer is expected to start first, including the time to reach the
- * runner.
+ * Chooses the runner whose answer is expected to start first, taking the time to reach the runner
+ * into account.
  *
  * <p>Suited to prompts that differ tenfold in size and to runners that are busy with prefill:
  * there, the number of requests says little about the load, while the number of tokens pending
--- a/forwarding/src/main/java/org/agatefield/forwarding/ForwardedRequest.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/ForwardedRequest.java
@@ -80,7 +80,7 @@
     return List.of(new RequestAction.Send(attempt, chosenRunner, resumeAfter));
   }
 
-  /** Handles that no runner can take the request. */
+  /** Handles the case that no runner can take the request. */
   public List<RequestAction> notChosen(RefusalReason reason) {
     return phase == Phase.CHOOSING ? refuseOrFail(reason) : List.of();
   }
@@ -176,7 +176,7 @@
             : new RequestAction.Deliver(eventAttempt));
   }
 
-  /** Handles the end of the deadline or of the route's timeout. */
+  /** Handles the expiry of the deadline or of the route's timeout. */
   public List<RequestAction> expired() {
     if (phase == Phase.OVER) {
       return List.of();
