--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -14,7 +14,7 @@
 import org.agatefield.daemon.core.ServiceExchange;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.Step;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimAction;
 import org.agatefield.idempotency.ClaimEvent;
@@ -50,14 +50,14 @@
   private final Dispatcher dispatcher;
   private final NonRepeatableCall.Sender sender;
   private final String name;
-  private final Arrival arrival;
+  private final CallAttempt arrival;
   private final Claim<ServiceExchange> claim;
   private final Consumer<ClaimExecution> over;
   private final ClaimProtocol<ServiceExchange> protocol = new ClaimProtocol<>();
   private final CompletableFuture<ServiceExchange> reply = new CompletableFuture<>();
   private final Backoff polls = new Backoff(FIRST_POLL_DELAY, LONGEST_POLL_DELAY);
   private final AtomicInteger permittedSends = new AtomicInteger(1);
-  private ClaimState<ServiceExchange> state = ClaimState.arrived();
+  private ClaimState<ServiceExchange> state = ClaimState.initial();
   private Optional<Dispatch> dispatch = Optional.empty();
   private Optional<StoredClaim> lastRead = Optional.empty();
   private Optional<StoredClaim> own = Optional.empty();
@@ -70,7 +70,7 @@
       Dispatcher dispatcher,
       NonRepeatableCall.Sender sender,
       String name,
-      Arrival arrival,
+      CallAttempt arrival,
       Claim<ServiceExchange> claim,
       Consumer<ClaimExecution> over) {
     this.parts = parts;
@@ -96,7 +96,8 @@
   /** Returns whether a claim of this arrival may be in the store without its outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, ASKING_FOR_OWN, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING ->
+          true;
       default -> false;
     };
   }
@@ -142,7 +143,7 @@
   private static boolean isAnswer(ClaimAction<ServiceExchange> action) {
     return action instanceof ClaimAction.Reply
         || action instanceof ClaimAction.Refuse
-        || action instanceof ClaimAction.RefuseWith;
+        || action instanceof ClaimAction.RefuseWithError;
   }
 
   /** Gives the arrival up after a fault; a claim stays, so that the call is never run again. */
@@ -160,17 +161,17 @@
       dispatcher.acquire(request).whenComplete(this::acquired);
     } else if (action instanceof ClaimAction.Reacquire) {
       reacquire();
-    } else if (action instanceof ClaimAction.GiveBack) {
+    } else if (action instanceof ClaimAction.ReleaseUpstream) {
       finishDispatch(DispatchOutcome.CANCELLED);
     } else if (action instanceof ClaimAction.Create) {
       create();
-    } else if (action instanceof ClaimAction.Resume) {
+    } else if (action instanceof ClaimAction.CheckDeadline) {
       resume();
     } else if (action instanceof ClaimAction.Send) {
       send();
     } else if (action instanceof ClaimAction.PollLater) {
       parts.vertx().setTimer(polls.nextMilliseconds(), fired -> feed(new ClaimEvent.PollDue<>()));
-    } else if (action instanceof ClaimAction.AskService) {
+    } else if (action instanceof ClaimAction.QueryService) {
       parts.outcomes().ask(call).whenComplete(this::asked);
     } else {
       performEnd(action);
@@ -180,7 +181,7 @@
   private void performEnd(ClaimAction<ServiceExchange> action) {
     if (action instanceof ClaimAction.Record<ServiceExchange> write) {
       recordOutcome(write.outcome());
-    } else if (action instanceof ClaimAction.RecordFor<ServiceExchange> write) {
+    } else if (action instanceof ClaimAction.RecordForOther<ServiceExchange> write) {
       recordFor(write);
     } else if (action instanceof ClaimAction.Remove) {
       parts.remover().remove(name, arrival.attemptId(), createUnknown);
@@ -193,7 +194,7 @@
       reply.complete(answer.answer());
     } else if (action instanceof ClaimAction.Refuse<ServiceExchange> refusal) {
       refuse(refusal);
-    } else if (action instanceof ClaimAction.RefuseWith<ServiceExchange> refusal) {
+    } else if (action instanceof ClaimAction.RefuseWithError<ServiceExchange> refusal) {
       reply.completeExceptionally(AgatefieldException.from(refusal.error()));
     }
   }
@@ -265,7 +266,7 @@
 
   private void resume() {
     parts.hook().reached(Step.AFTER_CLAIM, call.key());
-    feed(new ClaimEvent.Resumed<>());
+    feed(new ClaimEvent.DeadlineCheckDue<>());
   }
 
   private void send() {
@@ -310,9 +311,9 @@
 
   private void asked(Optional<ServiceExchange> answer, Throwable failure) {
     if (failure == null && answer.isPresent()) {
-      feed(new ClaimEvent.OutcomeLearnt<>(answer.get()));
+      feed(new ClaimEvent.OutcomeReceived<>(answer.get()));
     } else {
-      feed(new ClaimEvent.OutcomeNotLearnt<>());
+      feed(new ClaimEvent.OutcomeUnavailable<>());
     }
   }
 
@@ -323,7 +324,7 @@
         .start(own.orElseThrow(), outcome);
   }
 
-  private void recordFor(ClaimAction.RecordFor<ServiceExchange> write) {
+  private void recordFor(ClaimAction.RecordForOther<ServiceExchange> write) {
     Claim.Outcome<ServiceExchange> outcome = new Claim.Outcome<>(Optional.of(write.answer()));
     parts.claims().record(lastRead.orElseThrow(), outcome, arrival.attemptId());
   }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCalls.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCalls.java
@@ -17,7 +17,7 @@
 import org.agatefield.daemon.core.ServiceExchange;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.StepHook;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimNames;
 import org.agatefield.idempotency.RetentionPolicy;
@@ -121,8 +121,8 @@
       String name) {
     long now = System.nanoTime();
     long joinLimit = Math.min(call.remaining().toNanos(), limits.joinLimit().toNanos());
-    Arrival arrival =
-        new Arrival(
+    CallAttempt arrival =
+        new CallAttempt(
             UUID.randomUUID().toString(),
             call.bodySha256(),
             now + call.remaining().toNanos(),
@@ -140,7 +140,7 @@
         over -> executions.remove(name, over));
   }
 
-  private Claim<ServiceExchange> claimOf(NonRepeatableCall call, Arrival arrival) {
+  private Claim<ServiceExchange> claimOf(NonRepeatableCall call, CallAttempt arrival) {
     long now = System.currentTimeMillis();
     return new Claim<>(
         arrival.attemptId(),
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -324,7 +324,7 @@
                 id,
                 LEASE_DURATION,
                 this::isEarlierLifeOfThisInstance,
-                () -> peers.relays().speaks()));
+                () -> peers.relays().representsDomain()));
     planner =
         new PlannerDuty(
             vertx,
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -57,9 +57,9 @@
   void tell(long nowMilliseconds) {
     periods++;
     DomainRelays relays = fleet.relays();
-    if (!relays.isDomainLarge()) {
+    if (!relays.domainHasRelay()) {
       tellDirectly(relays);
-    } else if (relays.speaks()) {
+    } else if (relays.representsDomain()) {
       tellForDomain(relays, nowMilliseconds);
     } else if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT == 0) {
       tellRelay(relays, nowMilliseconds);
@@ -109,7 +109,7 @@
   }
 
   private void tellOtherDomains(DomainRelays relays, PeerMessage report) {
-    relays.direct().forEach(instance -> fleet.send(instance, report));
+    relays.directPeers().forEach(instance -> fleet.send(instance, report));
     relays.relays().forEach(instance -> fleet.send(instance, report));
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/leases/LeaseDuty.java
+++ b/daemon/src/main/java/org/agatefield/daemon/leases/LeaseDuty.java
@@ -239,7 +239,7 @@
         return;
       }
       lastSeen = Optional.of(object);
-      state = protocol.written(lease, object.resourceVersion(), sentAt, now);
+      state = protocol.recordWrite(lease, object.resourceVersion(), sentAt, now);
       noteHolding(now);
     }
     schedule(protocol.renewIntervalNanoseconds(), this::act);
--- a/lease/src/test/java/org/agatefield/lease/LeaseProtocolTest.java
+++ b/lease/src/test/java/org/agatefield/lease/LeaseProtocolTest.java
@@ -90,7 +90,7 @@
     LeaseProtocol protocol = new LeaseProtocol("b", TERMS);
     LeaseState other = protocol.observe(LeaseState.unknown(), "7", new LeaseRecord("a", 4, 100), 0);
     assertEquals(Optional.empty(), protocol.release(other));
-    LeaseState own = protocol.written(new LeaseRecord("b", 5, 100), "8", 0, 1);
+    LeaseState own = protocol.recordWrite(new LeaseRecord("b", 5, 100), "8", 0, 1);
     assertEquals(
         Optional.of(new LeaseDecision.Update("8", new LeaseRecord("", 5, 100))),
         protocol.release(own));
@@ -99,7 +99,7 @@
   @Test
   void holderThatLapsedTakesNewToken() {
     LeaseProtocol protocol = new LeaseProtocol("b", TERMS);
-    LeaseState state = protocol.written(new LeaseRecord("b", 5, 100), "8", 0, 1);
+    LeaseState state = protocol.recordWrite(new LeaseRecord("b", 5, 100), "8", 0, 1);
     assertEquals(
         new LeaseDecision.Update("8", new LeaseRecord("b", 5, 100)), protocol.decide(state, 99));
     assertEquals(
@@ -112,7 +112,7 @@
     double slow = 0.996;
     double fast = 1.004;
     LeaseProtocol holder = new LeaseProtocol("a", terms);
-    LeaseState held = holder.written(new LeaseRecord("a", 1, 100_000_000), "1", 0, 0);
+    LeaseState held = holder.recordWrite(new LeaseRecord("a", 1, 100_000_000), "1", 0, 0);
     final double holderEnds = held.grant().orElseThrow().validUntilNanoseconds() / slow;
     LeaseProtocol challenger = new LeaseProtocol("b", terms);
     LeaseState seen =
--- a/lease/src/test/java/org/agatefield/lease/SimulatedHolder.java
+++ b/lease/src/test/java/org/agatefield/lease/SimulatedHolder.java
@@ -126,7 +126,7 @@
       return;
     }
     long from = world.fault == Fault.TRUST_FROM_ANSWER ? clock() : sentAt;
-    state = protocol.written(lease, "" + version, from, clock());
+    state = protocol.recordWrite(lease, "" + version, from, clock());
     LeaseGrant grant = state.grant().orElseThrow();
     double until = real(grant.validUntilNanoseconds());
     if (until > world.realNanoseconds) {
--- a/placement/src/main/java/org/agatefield/placement/DemandBook.java
+++ b/placement/src/main/java/org/agatefield/placement/DemandTracker.java
@@ -12,7 +12,7 @@
  * within a second or two. What an instance has waiting and running is dropped when it falls silent.
  * Confined to one thread.
  */
-public final class DemandBook {
+public final class DemandTracker {
   private static final double MEMORY_MILLISECONDS = 2_000; // demand moves within a second or two
   private static final long REPORT_AGE_MILLISECONDS = 1_500; // several reports long
 
@@ -62,7 +62,7 @@
   }
 
   /** Takes in a report. */
-  public void reported(String instance, List<ModelDemand> demands, long nowMilliseconds) {
+  public void record(String instance, List<ModelDemand> demands, long nowMilliseconds) {
     reports.put(instance, new InstanceReport(List.copyOf(demands), nowMilliseconds));
     for (ModelDemand demand : demands) {
       ModelRate rate = rates.computeIfAbsent(demand.model(), ignored -> new ModelRate());
--- a/placement/src/main/java/org/agatefield/placement/LedgerAges.java
+++ b/placement/src/main/java/org/agatefield/placement/LedgerAges.java
@@ -51,7 +51,7 @@
   }
 
   /** Records that an engine answered an order to unload a version as done. */
-  public void unloaded(
+  public void recordUnload(
       String upstream, VersionId version, long orderToken, long sentAtNanoseconds) {
     unloads
         .computeIfAbsent(upstream, created -> new HashMap<>())
