--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -57,7 +57,7 @@
   private final CompletableFuture<ServiceExchange> reply = new CompletableFuture<>();
   private final Backoff polls = new Backoff(FIRST_POLL_DELAY, LONGEST_POLL_DELAY);
   private final AtomicInteger permittedSends = new AtomicInteger(1);
-  private ClaimState<ServiceExchange> state = ClaimState.arrived();
+  private ClaimState<ServiceExchange> state = ClaimState.initial();
   private Optional<Dispatch> dispatch = Optional.empty();
   private Optional<StoredClaim> lastRead = Optional.empty();
   private Optional<StoredClaim> own = Optional.empty();
@@ -96,7 +96,8 @@
   /** Returns whether a claim of this arrival may be in the store without its outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING ->
+          true;
       default -> false;
     };
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerNotices.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerNotices.java
@@ -78,8 +78,7 @@
    */
   long quietUntil(RunnerEntry runner, long now) {
     Quiet known = quiet.get(runner.id());
-    boolean current =
-        known != null && known.startTimeMilliseconds() == runner.startTimeMilliseconds();
+    boolean current = known != null && known.startTimeMilliseconds() == runner.startTimeMilliseconds();
     return current ? known.untilMilliseconds() : now;
   }
 
@@ -105,9 +104,7 @@
   private void rest(String runner, long born, long until) {
     Quiet known = quiet.get(runner);
     boolean longer =
-        known != null
-            && known.startTimeMilliseconds() == born
-            && known.untilMilliseconds() >= until;
+        known != null && known.startTimeMilliseconds() == born && known.untilMilliseconds() >= until;
     if (longer) {
       return;
     }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
@@ -11,8 +11,7 @@
  * What is known of the work at each runner: this instance's own, and what neighbours tell.
  *
  * <p>Invariant: own counts return to zero when every attempt has ended. What a neighbour told is
- * dropped once it is older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Confined to one
- * thread.
+ * dropped once it is older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Confined to one thread.
  */
 public final class RunnerLoads {
   /** How long what a neighbour told counts; it is told again several times in that time. */
@@ -35,7 +34,7 @@
     private int pendingPrefillTokens;
     private double millisecondsPerToken = INITIAL_MILLISECONDS_PER_TOKEN;
     private double millisecondsPerRequest = INITIAL_MILLISECONDS_PER_REQUEST;
-    private final Map<String, Boolean> cachedParts =
+    private final Map<String, Boolean> recordCachedParts =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1;
 
@@ -104,7 +103,7 @@
     StringBuilder chain = new StringBuilder(modelKey(prompt));
     for (PromptPart part : sharedParts(prompt)) {
       chain.append('|').append(part.id());
-      load.cachedParts.put(chain.toString(), Boolean.TRUE);
+      load.recordCachedParts.put(chain.toString(), Boolean.TRUE);
     }
   }
 
@@ -118,7 +117,7 @@
     StringBuilder chain = new StringBuilder(modelKey(prompt));
     for (PromptPart part : sharedParts(prompt)) {
       chain.append('|').append(part.id());
-      if (!load.cachedParts.containsKey(chain.toString())) {
+      if (!load.recordCachedParts.containsKey(chain.toString())) {
         break;
       }
       tokens -= part.tokens();
@@ -154,8 +153,7 @@
     Map<String, Load> shares = ownLoads();
     for (String id : neighbourIds) {
       NeighbourLoad load = neighbours.get(id);
-      if (load == null
-          || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
+      if (load == null || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
         continue;
       }
       load.shares().forEach((runner, share) -> shares.merge(runner, share, Load::plus));
@@ -179,8 +177,7 @@
   public Load total(String runner, long nowMilliseconds) {
     neighbours
         .values()
-        .removeIf(
-            load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
+        .removeIf(load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
     OwnLoad mine = own.get(runner);
     int running = mine == null ? 0 : mine.running;
     int unread = mine == null ? 0 : mine.pendingPrefillTokens;
@@ -210,7 +207,7 @@
   public void clearCachedParts(String runner) {
     OwnLoad load = own.get(runner);
     if (load != null) {
-      load.cachedParts.clear();
+      load.recordCachedParts.clear();
     }
   }
 
--- a/lease/src/main/java/org/agatefield/lease/LeaseProtocol.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseProtocol.java
@@ -101,7 +101,7 @@
    * @param sentAtNanoseconds monotonic time before the write was sent
    * @param nowNanoseconds monotonic time after its answer came
    */
-  public LeaseState written(
+  public LeaseState recordWrite(
       LeaseRecord lease, String version, long sentAtNanoseconds, long nowNanoseconds) {
     LeaseGrant grant =
         new LeaseGrant(lease.fencingToken(), sentAtNanoseconds + terms.grantValidityNanoseconds());
