--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -44,7 +44,7 @@
   private final DecisionLog decisions;
   private final DispatchMetrics metrics;
   private final InvariantMonitor monitor;
-  private final RoutedDispatch.Owner owner;
+  private final RoutedDispatch.Listener listener;
   private final LoadStretch stretch = new LoadStretch();
   private final Map<Long, PendingRequest> waiting = new HashMap<>();
   private List<Runnable> completions = new ArrayList<>();
@@ -61,7 +61,7 @@
       DecisionLog decisions,
       DispatchMetrics metrics,
       InvariantMonitor monitor,
-      RoutedDispatch.Owner owner) {
+      RoutedDispatch.Listener listener) {
     this.index = index;
     this.upstreams = upstreams;
     this.chooser = chooser;
@@ -71,7 +71,7 @@
     this.decisions = decisions;
     this.metrics = metrics;
     this.monitor = monitor;
-    this.owner = owner;
+    this.listener = listener;
   }
 
   /** Takes in what changed outside since the last call. */
@@ -122,7 +122,7 @@
     }
   }
 
-  void firstAnswerPart(RoutedDispatch dispatch, long now) {
+  void responseStarted(RoutedDispatch dispatch, long now) {
     long nanoseconds = now - dispatch.sentNanoseconds();
     upstreams.firstPart(dispatch.upstream().name(), nanoseconds, now);
   }
@@ -215,7 +215,7 @@
     String name = choice.candidate().upstream();
     final Upstream upstream = index.upstream(name).orElseThrow();
     monitor.check(
-        InvariantMonitor.Promise.LEAVING_UPSTREAM,
+        InvariantMonitor.Invariant.LEAVING_UPSTREAM,
         !leaving.contains(name),
         () -> "request " + pending.requestId + " was routed to leaving upstream " + name);
     lastAttemptNumber++;
@@ -229,7 +229,7 @@
     metrics.dispatched.inc();
     decisions.chosen(
         pending.requestId, lastAttemptNumber, pending.target.name(), choice, candidates);
-    hand(pending, new RoutedDispatch(owner, pending, lastAttemptNumber, upstream, now));
+    hand(pending, new RoutedDispatch(listener, pending, lastAttemptNumber, upstream, now));
   }
 
   /** A caller that went away in the meantime does not take the attempt: its place is given back. */
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RunnerState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -9,7 +9,7 @@
 import org.agatefield.routing.RunnerLoad;
 
 /** What this instance knows of one upstream's load. Confined to the dispatcher's lock. */
-final class RunnerState {
+final class UpstreamState {
   private static final int MINIMUM_LIMIT = 1;
   private static final int INITIAL_LIMIT = 32;
   private static final int MAXIMUM_LIMIT = 1_024;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -24,7 +24,7 @@
 import org.agatefield.admission.FleetSize;
 import org.agatefield.admission.QuotaTolerance;
 import org.agatefield.daemon.forward.wire.PlatformDialect;
-import org.agatefield.daemon.leases.LeaseDuty;
+import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
 import org.agatefield.forwarding.BeginInTime;
 import org.agatefield.forwarding.EarliestBeginChoice;
@@ -95,7 +95,7 @@
   private FleetSize fleetSize;
   private HeldQuotas quotas;
   private PlannerDuty planner;
-  private LeaseDuty lease;
+  private LeaseManager lease;
   private IngressServer ingress;
   private volatile boolean leaving;
   private volatile boolean refusing;
@@ -317,7 +317,7 @@
     closer.register(client::close);
     lease =
         closer.register(
-            new LeaseDuty(
+            new LeaseManager(
                 vertx,
                 store,
                 PLANNER_LEASE,
@@ -331,7 +331,7 @@
             client,
             dialect.runners(),
             lease,
-            lease::distrust,
+            lease::invalidateGrant,
             id,
             runners,
             configuration,
