--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -14,7 +14,7 @@
 import org.agatefield.daemon.core.NonRepeatableCall;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.ServiceResponse;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimAction;
 import org.agatefield.idempotency.ClaimEvent;
@@ -50,7 +50,7 @@
   private final Dispatcher dispatcher;
   private final NonRepeatableCall.Sender sender;
   private final String name;
-  private final Arrival arrival;
+  private final CallAttempt arrival;
   private final Claim<ServiceResponse> claim;
   private final Consumer<ClaimExecution> over;
   private final ClaimProtocol<ServiceResponse> protocol = new ClaimProtocol<>();
@@ -70,7 +70,7 @@
       Dispatcher dispatcher,
       NonRepeatableCall.Sender sender,
       String name,
-      Arrival arrival,
+      CallAttempt arrival,
       Claim<ServiceResponse> claim,
       Consumer<ClaimExecution> over) {
     this.parts = parts;
@@ -96,7 +96,7 @@
   /** Returns whether a claim of this arrival may be in the store without its outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, ASKING_FOR_OWN, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING -> true;
       default -> false;
     };
   }
@@ -142,7 +142,7 @@
   private static boolean isAnswer(ClaimAction<ServiceResponse> action) {
     return action instanceof ClaimAction.Reply
         || action instanceof ClaimAction.Refuse
-        || action instanceof ClaimAction.RefuseWith;
+        || action instanceof ClaimAction.RefuseWithError;
   }
 
   /** Gives the arrival up after a fault; a claim stays, so that the call is never run again. */
@@ -160,17 +160,17 @@
       dispatcher.acquire(request).whenComplete(this::acquired);
     } else if (action instanceof ClaimAction.Reacquire) {
       reacquire();
-    } else if (action instanceof ClaimAction.GiveBack) {
+    } else if (action instanceof ClaimAction.ReleaseUpstream) {
       finishDispatch(DispatchOutcome.CANCELLED);
     } else if (action instanceof ClaimAction.Create) {
       create();
-    } else if (action instanceof ClaimAction.Resume) {
+    } else if (action instanceof ClaimAction.CheckDeadline) {
       resume();
     } else if (action instanceof ClaimAction.Send) {
       send();
     } else if (action instanceof ClaimAction.PollLater) {
       parts.vertx().setTimer(polls.nextMilliseconds(), fired -> feed(new ClaimEvent.PollDue<>()));
-    } else if (action instanceof ClaimAction.AskService) {
+    } else if (action instanceof ClaimAction.QueryService) {
       parts.outcomes().ask(call).whenComplete(this::asked);
     } else {
       performEnd(action);
@@ -180,7 +180,7 @@
   private void performEnd(ClaimAction<ServiceResponse> action) {
     if (action instanceof ClaimAction.Record<ServiceResponse> write) {
       recordOutcome(write.outcome());
-    } else if (action instanceof ClaimAction.RecordFor<ServiceResponse> write) {
+    } else if (action instanceof ClaimAction.RecordForOther<ServiceResponse> write) {
       recordFor(write);
     } else if (action instanceof ClaimAction.Remove) {
       parts.remover().remove(name, arrival.attemptId(), createUnknown);
@@ -193,7 +193,7 @@
       reply.complete(answer.answer());
     } else if (action instanceof ClaimAction.Refuse<ServiceResponse> refusal) {
       refuse(refusal);
-    } else if (action instanceof ClaimAction.RefuseWith<ServiceResponse> refusal) {
+    } else if (action instanceof ClaimAction.RefuseWithError<ServiceResponse> refusal) {
       reply.completeExceptionally(AgatefieldException.from(refusal.error()));
     }
   }
@@ -265,7 +265,7 @@
 
   private void resume() {
     parts.hook().reached(FailPoint.AFTER_CLAIM, call.key());
-    feed(new ClaimEvent.Resumed<>());
+    feed(new ClaimEvent.DeadlineCheckDue<>());
   }
 
   private void send() {
@@ -310,9 +310,9 @@
 
   private void asked(Optional<ServiceResponse> answer, Throwable failure) {
     if (failure == null && answer.isPresent()) {
-      feed(new ClaimEvent.OutcomeLearnt<>(answer.get()));
+      feed(new ClaimEvent.OutcomeReceived<>(answer.get()));
     } else {
-      feed(new ClaimEvent.OutcomeNotLearnt<>());
+      feed(new ClaimEvent.OutcomeUnavailable<>());
     }
   }
 
@@ -323,7 +323,7 @@
         .start(own.orElseThrow(), outcome);
   }
 
-  private void recordFor(ClaimAction.RecordFor<ServiceResponse> write) {
+  private void recordFor(ClaimAction.RecordForOther<ServiceResponse> write) {
     Claim.Outcome<ServiceResponse> outcome = new Claim.Outcome<>(Optional.of(write.answer()));
     parts.claims().record(lastRead.orElseThrow(), outcome, arrival.attemptId());
   }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 import org.agatefield.admission.ConcurrencyLimit;
-import org.agatefield.admission.LearntLimit;
+import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
@@ -16,7 +16,7 @@
 
   private final RunnerLoad load = new RunnerLoad();
   private final ConcurrencyLimit limit =
-      new LearntLimit(MINIMUM_LIMIT, INITIAL_LIMIT, MAXIMUM_LIMIT);
+      new AdaptiveLimit(MINIMUM_LIMIT, INITIAL_LIMIT, MAXIMUM_LIMIT);
   private LoadReport lastReport;
   private Set<String> loadedAdapters = Set.of();
 
@@ -59,7 +59,7 @@
     return (double) load.outstanding(nowNanoseconds) / limit.limit();
   }
 
-  boolean hasPlace(long nowNanoseconds) {
+  boolean hasCapacity(long nowNanoseconds) {
     return load.outstanding(nowNanoseconds) < limit.limit();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/FixedShareQuotas.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/FixedShareQuotas.java
@@ -73,14 +73,14 @@
   private QuotaBucket bucket(ClientAccount account, long now) {
     TokenQuota quota = account.quota().orElseThrow();
     TokenRate whole = tolerance.rate(quota.perSecond(), quota.burst());
-    TokenRate part = kept.apply(whole.scaled(1.0 / fleet.most(now)));
+    TokenRate part = kept.apply(whole.scaled(1.0 / fleet.recentMaximum(now)));
     return buckets.bucket(account.name(), part, now);
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   /** Empties the bucket of an account, whose part is earned from the given moment on. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -26,8 +26,8 @@
 import org.agatefield.daemon.forward.wire.PlatformDialect;
 import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
-import org.agatefield.forwarding.BeginInTime;
-import org.agatefield.forwarding.EarliestBeginChoice;
+import org.agatefield.forwarding.StartInTimePolicy;
+import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
 import org.agatefield.model.AgatefieldException;
@@ -254,7 +254,7 @@
             loads,
             presence,
             notices,
-            new EarliestBeginChoice(random));
+            new EarliestStartChooser(random));
     ingress =
         new IngressServer(
             new ForwardingParts(
@@ -267,7 +267,7 @@
                 configuration::table,
                 selector,
                 notices,
-                new BeginInTime(),
+                new StartInTimePolicy(),
                 loads,
                 presence,
                 plannerLink::ensureAdapter,
@@ -324,7 +324,7 @@
                 id,
                 LEASE_DURATION,
                 this::isEarlierLifeOfThisInstance,
-                () -> peers.relays().speaks()));
+                () -> peers.relays().representsDomain()));
     planner =
         new PlannerDuty(
             vertx,
@@ -354,7 +354,7 @@
     duties.every(PlannerLink.DEMAND_MILLISECONDS, now -> plannerLink.reportDemand());
     duties.every(PlannerLink.NOTICE_MILLISECONDS, now -> plannerLink.announce());
     duties.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
-    duties.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
+    duties.every(FleetSize.SAMPLE_INTERVAL_MILLISECONDS, fleetSize::sample);
     duties.every(HeldQuotas.KEEP_MILLISECONDS, quotas::keep);
     duties.start();
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/HeldQuotas.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/HeldQuotas.java
@@ -125,7 +125,7 @@
         }
       }
     }
-    buckets.forgetUnused(this::isHeldHere, now);
+    buckets.removeUnused(this::isHeldHere, now);
   }
 
   /** Opens the connection to a holder before a request has to wait for it. */
@@ -179,7 +179,7 @@
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     holders.see(fleet.answering());
     if (isHeldHere(account.name())) {
       takeBack(account, tokens);
@@ -198,7 +198,7 @@
 
   private void takeBack(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   private Optional<ClientAccount> account(String name) {
@@ -245,7 +245,7 @@
     TokenQuota quota = account.quota().orElseThrow();
     double seen = Math.max(1, holders.count(region()));
     TokenRate rate =
-        tolerance.rate(quota.perSecond(), quota.burst()).scaled(Math.min(1, seen / size.most(now)));
+        tolerance.rate(quota.perSecond(), quota.burst()).scaled(Math.min(1, seen / size.recentMaximum(now)));
     return buckets.bucket(account.name(), rate, now);
   }
 
@@ -280,7 +280,7 @@
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
     double room = Math.max(0, WANTED_SHARE * bucket.capacity() - bucket.level(now));
-    double wanted = bucket.lacking(tokens, now) + room;
+    double wanted = bucket.shortfall(tokens, now) + room;
     if (lenders.isEmpty() || wanted <= 0) {
       noLoanUntil.put(account.name(), now + NO_LOAN_MILLISECONDS);
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -14,7 +14,7 @@
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.model.UpstreamKind;
-import org.agatefield.placement.DrainRules;
+import org.agatefield.placement.DrainPolicy;
 import org.agatefield.placement.LedgerAges;
 import org.agatefield.placement.LoadBudget;
 import org.agatefield.placement.MoveKind;
@@ -26,8 +26,8 @@
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
-import org.agatefield.placement.RunnerStep;
-import org.agatefield.placement.RunnerSteps;
+import org.agatefield.placement.ReconciliationStep;
+import org.agatefield.placement.RunnerReconciler;
 import org.agatefield.placement.RunnerView;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -47,7 +47,7 @@
   private final PlacementContext parts;
   private final PlacementTimings terms;
   private final PlacementPlanner planner;
-  private final RunnerSteps steps;
+  private final RunnerReconciler steps;
   private final LedgerTable table;
   private final PlannerTakeover takeover;
   private final OrderSender sender;
@@ -71,9 +71,9 @@
     this.takeover = new PlannerTakeover(table);
     this.sender = new OrderSender(parts, terms);
     this.reports = new LoadReportPoller(parts);
-    this.steps = new RunnerSteps(terms.orderQuarantine().toNanos());
-    DrainRules drainRules =
-        new DrainRules(terms.minimumDrain().toNanos(), terms.maximumDrain().toNanos());
+    this.steps = new RunnerReconciler(terms.orderQuarantine().toNanos());
+    DrainPolicy drainRules =
+        new DrainPolicy(terms.minimumDrain().toNanos(), terms.maximumDrain().toNanos());
     this.planner = new PlacementPlanner(policy, drainRules);
   }
 
@@ -200,7 +200,7 @@
     takeover.renew(runner, token).whenComplete((done, failure) -> ended(runner, state, failure));
   }
 
-  private void take(Upstream runner, RunnerState state, RunnerLedger before, RunnerStep step) {
+  private void take(Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
     state.begin();
     long token = heldToken;
     LOGGER.info("placement step upstream={} reason=\"{}\"", runner.name(), step.reason());
--- a/daemon/src/test/java/org/agatefield/daemon/forward/HeldQuotasTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/HeldQuotasTest.java
@@ -213,7 +213,7 @@
   }
 
   private void keepAll() {
-    members.values().forEach(member -> member.size.look(now));
+    members.values().forEach(member -> member.size.sample(now));
     members.values().forEach(member -> member.quotas.keep(now));
     schedule(HeldQuotas.KEEP_MILLISECONDS, this::keepAll);
   }
@@ -237,7 +237,7 @@
         decision -> {
           if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
             if (random.nextDouble() < unusedShare) {
-              schedule(200, () -> member.quotas.giveBack(account, REQUEST_TOKENS));
+              schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
           }
