--- a/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
+++ b/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
@@ -207,8 +207,7 @@
             current.ledger().plannerToken() <= planner.token
                 && write(
                     planner,
-                    LedgerTransitions.takeOver(
-                        current.ledger(), engine.memoryMegabytes, planner.token));
+                    LedgerTransitions.takeOver(current.ledger(), engine.memoryMegabytes, planner.token));
       }
     }
     planner.takenOver = complete;
@@ -272,8 +271,7 @@
     if (evidence.isEmpty()) {
       return;
     }
-    RunnerReconciler steps =
-        new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
+    RunnerReconciler steps = new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
     Optional<ReconciliationStep> step =
         steps.next(ledger, evidence.get(), engine.checksFencingTokens, planner.ages, now);
     if (step.isEmpty()) {
