--- a/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
@@ -29,11 +29,11 @@
   private static final int NOT_FOUND = 404;
   private static final int BODY_TOO_LARGE = 413;
 
-  private final ForwardingParts parts;
+  private final ForwardingContext parts;
   private long heldBytes;
   private int open;
 
-  IngressServer(ForwardingParts parts) {
+  IngressServer(ForwardingContext parts) {
     this.parts = parts;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.agatefield.daemon.forward.wire.AnswerKind;
+import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.forwarding.EventStreamSplitter;
 import org.agatefield.forwarding.ForwardedRequest;
@@ -33,7 +33,7 @@
 
   private static final long STALL_CHECK_MILLISECONDS = 100; // a fraction of the shortest limit
 
-  private final ForwardingParts parts;
+  private final ForwardingContext parts;
   private final Route route;
   private final String service;
   private final RequestTerms terms;
@@ -46,8 +46,8 @@
   private final long sentAt = MonotonicClock.milliseconds();
   private final int newTokens;
   private final double tokensAhead;
-  private UpstreamAnswer head;
-  private UpstreamAnswer answer;
+  private UpstreamResponse head;
+  private UpstreamResponse answer;
   private byte[] event;
   private long lastActivity = sentAt;
   private boolean began;
@@ -64,7 +64,7 @@
    * @param followUp carries out what the state then decides
    */
   RequestAttempt(
-      ForwardingParts parts,
+      ForwardingContext parts,
       Purpose purpose,
       ForwardedRequest state,
       Consumer<List<RequestAction>> followUp,
@@ -100,7 +100,7 @@
   }
 
   /** Returns the head of the stream that has begun. */
-  UpstreamAnswer streamHead() {
+  UpstreamResponse streamHead() {
     return head;
   }
 
@@ -110,7 +110,7 @@
   }
 
   /** Returns the whole answer, or the head of a stream that has ended. */
-  UpstreamAnswer answer() {
+  UpstreamResponse answer() {
     return answer;
   }
 
@@ -147,18 +147,18 @@
   }
 
   @Override
-  public void headReceived(UpstreamAnswer received) {
+  public void headReceived(UpstreamResponse received) {
     RunnerDialect dialect = parts.dialect().runners();
     if (dialect.isLeaving(received.headers())) {
-      parts.notices().saidThatItLeaves(runner);
+      parts.notices().leavingReported(runner);
     }
     dialect
-        .quietMilliseconds(received.status(), received.headers())
-        .ifPresent(quiet -> parts.notices().askedForQuiet(runner, quiet));
+        .backoffMilliseconds(received.status(), received.headers())
+        .ifPresent(quiet -> parts.notices().backoffRequested(runner, quiet));
   }
 
   @Override
-  public void rejected(AnswerKind kind, UpstreamAnswer rejection) {
+  public void rejected(ResponseKind kind, UpstreamResponse rejection) {
     release();
     doubtPresence(kind);
     LOGGER.info(
@@ -172,7 +172,7 @@
   }
 
   @Override
-  public void failed(String cause, Optional<UpstreamAnswer> failure) {
+  public void failed(String cause, Optional<UpstreamResponse> failure) {
     release();
     parts.selector().failed(runner.id());
     LOGGER.info(
@@ -187,7 +187,7 @@
   }
 
   @Override
-  public void answered(UpstreamAnswer whole) {
+  public void answered(UpstreamResponse whole) {
     begin();
     release();
     parts.selector().succeeded(runner.id());
@@ -196,7 +196,7 @@
   }
 
   @Override
-  public void event(UpstreamAnswer streamHead, EventStreamSplitter.Event next) {
+  public void event(UpstreamResponse streamHead, EventStreamSplitter.Event next) {
     if (!next.empty()) {
       lastActivity = MonotonicClock.milliseconds();
       parts.selector().heard(runner.id(), lastActivity);
@@ -208,7 +208,7 @@
   }
 
   @Override
-  public void ended(UpstreamAnswer streamHead) {
+  public void ended(UpstreamResponse streamHead) {
     release();
     parts.selector().succeeded(runner.id());
     answer = streamHead;
@@ -245,12 +245,12 @@
   }
 
   /** A runner also turns requests away for a model that it is loading or dropping. */
-  private void doubtPresence(AnswerKind kind) {
+  private void doubtPresence(ResponseKind kind) {
     terms
         .prompt()
         .ifPresent(
             prompt -> {
-              if (kind == AnswerKind.MISDIRECTED && prompt.adapter().isPresent()) {
+              if (kind == ResponseKind.MISDIRECTED && prompt.adapter().isPresent()) {
                 parts.presence().denyAdapter(runner.id(), prompt.model(), prompt.adapter().get());
               } else {
                 parts
@@ -282,7 +282,7 @@
 
   private long stallLimit() {
     long runnerSilent = parts.selector().silentMilliseconds(runner.id());
-    return StallLimits.milliseconds(route, began, deadline - lastActivity, runnerSilent);
+    return StallTimeouts.milliseconds(route, began, deadline - lastActivity, runnerSilent);
   }
 
   private void stalled(long silent) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
@@ -40,7 +40,7 @@
   private static final int MOST_URGENT = 0;
   private static final int LEAST_URGENT = 9;
 
-  private final ForwardingParts parts;
+  private final ForwardingContext parts;
   private final HttpServerRequest request;
   private final CallerResponse response;
   private final Route route;
@@ -72,7 +72,7 @@
       ForwardingTable table, Route route, Optional<ClientAccount> account, RequestTerms terms) {}
 
   RequestExchange(
-      ForwardingParts parts,
+      ForwardingContext parts,
       HttpServerRequest request,
       Admitted admitted,
       Buffer content,
@@ -93,7 +93,7 @@
             route.timeoutMilliseconds(),
             terms.deadlineMilliseconds().orElse(route.timeoutMilliseconds()));
     this.deadline = arrivedAt + Math.max(1, allowed - ANSWER_MARGIN_MILLISECONDS);
-    this.beginBy = Math.min(deadline, arrivedAt + CallerPatience.milliseconds(route));
+    this.beginBy = Math.min(deadline, arrivedAt + ResponseStartTimeout.milliseconds(route));
     this.state =
         new ForwardedRequest(
             route.repetition(),
@@ -217,7 +217,7 @@
       sendOrWait(found, now);
     } else if (selection instanceof RunnerSelector.Selection.NoRunner) {
       refuseOrWait(RefusalReason.NO_RUNNER);
-    } else if (selection instanceof RunnerSelector.Selection.AllQuiet quiet) {
+    } else if (selection instanceof RunnerSelector.Selection.AllBackingOff quiet) {
       waitForQuiet(quiet.untilMilliseconds(), now);
     } else if (selection instanceof RunnerSelector.Selection.ModelAbsent) {
       waitForModel(now);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerNotices.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -18,8 +18,8 @@
  * was said here first is told to the other instances, and what they tell is taken in. Confined to
  * one event loop.
  */
-final class RunnerNotices {
-  private static final Logger LOGGER = LogManager.getLogger(RunnerNotices.class);
+final class RunnerAvailability {
+  private static final Logger LOGGER = LogManager.getLogger(RunnerAvailability.class);
 
   private final Consumer<PeerMessage> broadcast;
   private final Map<String, Leaving> leaving = new HashMap<>();
@@ -30,12 +30,12 @@
   private record Quiet(long bornMilliseconds, long untilMilliseconds) {}
 
   /** Creates notices that tells new ones by {@code broadcast}. */
-  RunnerNotices(Consumer<PeerMessage> broadcast) {
+  RunnerAvailability(Consumer<PeerMessage> broadcast) {
     this.broadcast = broadcast;
   }
 
   /** A runner said in an answer that it leaves. */
-  void saidThatItLeaves(RunnerEntry runner) {
+  void leavingReported(RunnerEntry runner) {
     if (isLeaving(runner)) {
       return;
     }
@@ -46,9 +46,9 @@
   }
 
   /** A runner turned a request away and wants no more for a while. */
-  void askedForQuiet(RunnerEntry runner, long milliseconds) {
+  void backoffRequested(RunnerEntry runner, long milliseconds) {
     long now = MonotonicClock.milliseconds();
-    boolean known = quietUntil(runner, now) > now;
+    boolean known = backoffUntil(runner, now) > now;
     rest(runner.id(), runner.bornMilliseconds(), now + milliseconds);
     if (!known) {
       broadcast.accept(
@@ -76,7 +76,7 @@
    * Returns when a runner takes requests again, in monotonic milliseconds; {@code now} or before if
    * it does.
    */
-  long quietUntil(RunnerEntry runner, long now) {
+  long backoffUntil(RunnerEntry runner, long now) {
     Quiet known = quiet.get(runner.id());
     boolean current = known != null && known.bornMilliseconds() == runner.bornMilliseconds();
     return current ? known.untilMilliseconds() : now;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
@@ -30,7 +30,7 @@
   private final RunnerDirectory directory;
   private final RunnerLoads loads;
   private final ModelPresence presence;
-  private final RunnerNotices notices;
+  private final RunnerAvailability notices;
   private final RunnerChoice choice;
   private final OutlierDetector outliers = new OutlierDetector(EJECTION_NANOSECONDS);
 
@@ -49,7 +49,7 @@
      *
      * @param untilMilliseconds when the first takes them again, in monotonic milliseconds
      */
-    record AllQuiet(long untilMilliseconds) implements Selection {}
+    record AllBackingOff(long untilMilliseconds) implements Selection {}
 
     /** Runners of the service exist, but none has the model. */
     record ModelAbsent() implements Selection {}
@@ -64,7 +64,7 @@
       RunnerDirectory directory,
       RunnerLoads loads,
       ModelPresence presence,
-      RunnerNotices notices,
+      RunnerAvailability notices,
       RunnerChoice choice) {
     this.here = here;
     this.regions = regions;
@@ -88,10 +88,10 @@
       return new Selection.ModelAbsent();
     }
     List<RunnerEntry> able =
-        holding.stream().filter(entry -> notices.quietUntil(entry, now) <= now).toList();
+        holding.stream().filter(entry -> notices.backoffUntil(entry, now) <= now).toList();
     if (able.isEmpty()) {
-      return new Selection.AllQuiet(
-          holding.stream().mapToLong(each -> notices.quietUntil(each, now)).min().orElse(now));
+      return new Selection.AllBackingOff(
+          holding.stream().mapToLong(each -> notices.backoffUntil(each, now)).min().orElse(now));
     }
     List<RunnerEntry> healthy = outliers.admitted(able, RunnerEntry::id, System.nanoTime());
     List<RunnerEntry> fresh = without(healthy, tried);
@@ -115,7 +115,7 @@
         .filter(entry -> !entry.draining())
         .filter(entry -> entry.bornMilliseconds() == runner.bornMilliseconds())
         .filter(entry -> !notices.isLeaving(entry))
-        .filter(entry -> notices.quietUntil(entry, now) <= now)
+        .filter(entry -> notices.backoffUntil(entry, now) <= now)
         .isPresent();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
@@ -17,7 +17,7 @@
   String directoryPath();
 
   /** Reads where an asking caller lies. */
-  Whereabouts whereabouts(MultiMap parameters);
+  CallerLocation callerLocation(MultiMap parameters);
 
   /** Writes the answer to which instances to use. */
   Buffer directoryAnswer(List<Address> addresses, Duration timeToLive);
@@ -37,5 +37,5 @@
    * @param region empty text if it did not say
    * @param failureDomain empty text if it did not say
    */
-  record Whereabouts(String region, String failureDomain) {}
+  record CallerLocation(String region, String failureDomain) {}
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
@@ -7,8 +7,11 @@
  *
  * @param callers talks to callers
  * @param runners talks to runners
- * @param knowledge reads what lies in the store
+ * @param storedObjects reads what lies in the store
  * @param store talks to the store
  */
 public record PlatformDialect(
-    CallerDialect callers, RunnerDialect runners, KnowledgeDialect knowledge, StoreDialect store) {}
+    CallerDialect callers,
+    RunnerDialect runners,
+    StoredObjectDialect storedObjects,
+    StoreDialect store) {}
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
@@ -12,13 +12,13 @@
   void writeTerms(SendTerms terms, MultiMap headers);
 
   /** Reads what kind of answer came to a request. */
-  AnswerKind answerKind(int status, MultiMap headers, String requestId);
+  ResponseKind responseKind(int status, MultiMap headers, String requestId);
 
   /** Returns whether an answer says that its runner is about to end. */
   boolean isLeaving(MultiMap headers);
 
   /** Returns for how long a runner that turned a request away wants nothing more; empty if not. */
-  OptionalLong quietMilliseconds(int status, MultiMap headers);
+  OptionalLong backoffMilliseconds(int status, MultiMap headers);
 
   /** Returns the path that takes orders. */
   String orderPath();
