--- a/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
@@ -78,9 +78,9 @@
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   /** Empties the bucket of an account, whose part is earned from the given moment on. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -24,10 +24,10 @@
 import org.agatefield.admission.FleetSize;
 import org.agatefield.admission.QuotaTolerance;
 import org.agatefield.daemon.forward.wire.PlatformDialect;
-import org.agatefield.daemon.leases.LeaseDuty;
+import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
-import org.agatefield.forwarding.BeginInTime;
-import org.agatefield.forwarding.EarliestBeginChoice;
+import org.agatefield.forwarding.StartInTimePolicy;
+import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
 import org.agatefield.model.AgatefieldException;
@@ -95,7 +95,7 @@
   private FleetSize fleetSize;
   private RegionalQuotaPolicy quotas;
   private ModelPlanner planner;
-  private LeaseDuty lease;
+  private LeaseManager lease;
   private IngressServer ingress;
   private volatile boolean leaving;
   private volatile boolean refusing;
@@ -253,7 +253,7 @@
             loads,
             presence,
             notices,
-            new EarliestBeginChoice(random));
+            new EarliestStartChooser(random));
     ingress =
         new IngressServer(
             new ForwardingContext(
@@ -266,7 +266,7 @@
                 configuration::table,
                 selector,
                 notices,
-                new BeginInTime(),
+                new StartInTimePolicy(),
                 loads,
                 presence,
                 plannerLink::ensureAdapter,
@@ -316,21 +316,21 @@
     closer.register(client::close);
     lease =
         closer.register(
-            new LeaseDuty(
+            new LeaseManager(
                 vertx,
                 store,
                 PLANNER_LEASE,
                 id,
                 LEASE_DURATION,
                 this::isEarlierLifeOfThisInstance,
-                () -> peers.relays().speaks()));
+                () -> peers.relays().representsDomain()));
     planner =
         new ModelPlanner(
             vertx,
             client,
             dialect.runners(),
             lease,
-            lease::distrust,
+            lease::invalidateGrant,
             id,
             runners,
             configuration,
@@ -353,7 +353,7 @@
     duties.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerLink.reportDemand());
     duties.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerLink.announce());
     duties.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
-    duties.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
+    duties.every(FleetSize.SAMPLE_INTERVAL_MILLISECONDS, fleetSize::sample);
     duties.every(RegionalQuotaPolicy.KEEP_MILLISECONDS, quotas::keep);
     duties.start();
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -82,7 +82,7 @@
     this.settings =
         MembershipSettings.defaults()
             .withProbes(PROBE_MILLISECONDS, PROBE_TIMEOUT_MILLISECONDS, SUSPICION_PROBES)
-            .withSpread(UPDATES_PER_MESSAGE, TRANSMIT_MULTIPLIER);
+            .withGossip(UPDATES_PER_MESSAGE, TRANSMIT_MULTIPLIER);
     this.loop = this.context.nettyEventLoop();
     this.transport =
         closer.register(
@@ -175,7 +175,7 @@
   /** Sends a message that may be lost to every other instance that is alive. */
   void broadcast(PeerMessage message) {
     tellNeighbours(message);
-    relays().direct().forEach(instance -> send(instance, message));
+    relays().directPeers().forEach(instance -> send(instance, message));
     PeerMessage relayed = new PeerMessage.Relayed(message);
     relays().relays().forEach(instance -> send(instance, relayed));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -20,10 +20,10 @@
 import org.agatefield.lease.LeaseGrant;
 import org.agatefield.model.ModelDemand;
 import org.agatefield.model.WeightStoreLimits;
-import org.agatefield.placement.DemandBook;
+import org.agatefield.placement.DemandTracker;
 import org.agatefield.placement.EngineView;
 import org.agatefield.placement.LoadBudget;
-import org.agatefield.placement.ModelSize;
+import org.agatefield.placement.ModelProfile;
 import org.agatefield.placement.ReplicaMove;
 import org.agatefield.placement.ReplicaPolicy;
 import org.apache.logging.log4j.LogManager;
@@ -56,7 +56,7 @@
   private final ConfigurationTracker configuration;
   private final ReplicaPolicy policy;
   private final Announcements announcements;
-  private final DemandBook demand = new DemandBook();
+  private final DemandTracker demand = new DemandTracker();
   private final Map<String, EngineController> engines = new HashMap<>();
   private final OutstandingOrdersByRunner lateOrders = new OutstandingOrdersByRunner();
   private final Map<String, LoadBudget> budgets = new HashMap<>();
@@ -237,7 +237,7 @@
             .refill(new WeightStoreLimits(pool.loadsPerSecond(), concurrent, ADAPTER_LOADS), now);
     int allowed = Math.min(budget.available(), Math.max(0, concurrent - loading));
     long clock = MonotonicClock.milliseconds();
-    Map<String, DemandBook.Demand> demands = demand.demands(clock);
+    Map<String, DemandTracker.Demand> demands = demand.demands(clock);
     List<ReplicaMove> moves = policy.plan(views, sizes(pool), demands, allowed);
     logState(service, views, demands, allowed, clock);
     for (ReplicaMove move : moves) {
@@ -260,7 +260,7 @@
   private void logState(
       String service,
       List<EngineView> views,
-      Map<String, DemandBook.Demand> demands,
+      Map<String, DemandTracker.Demand> demands,
       int storeLoads,
       long now) {
     long interval = STATE_LOG_MILLISECONDS * (1 + views.size() / RUNNERS_PER_SECOND_OF_LOG);
@@ -287,7 +287,7 @@
                 .append(view.id())
                 .append('=')
                 .append(String.join("+", view.held()))
-                .append(view.orderable() ? "" : ",busy"));
+                .append(view.acceptsOrders() ? "" : ",busy"));
     LOGGER.info(
         "placement_state service={} store_loads={} tokens{} runners{}",
         service,
@@ -316,11 +316,11 @@
         .orElse(MAXIMUM_ADAPTER_MEGABYTES);
   }
 
-  private static List<ModelSize> sizes(EnginePool pool) {
+  private static List<ModelProfile> sizes(EnginePool pool) {
     return pool.models().stream()
         .map(
             model ->
-                new ModelSize(
+                new ModelProfile(
                     model.name(),
                     model.weightsMegabytes(),
                     model.storeLoadMilliseconds(),
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -125,7 +125,7 @@
         }
       }
     }
-    buckets.forgetUnused(this::isHeldHere, now);
+    buckets.removeUnused(this::isHeldHere, now);
   }
 
   /** Opens the connection to a holder before a request has to wait for it. */
@@ -179,7 +179,7 @@
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     holders.see(fleet.answering());
     if (isHeldHere(account.name())) {
       takeBack(account, tokens);
@@ -198,7 +198,7 @@
 
   private void takeBack(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   private Optional<ClientAccount> account(String name) {
@@ -280,7 +280,7 @@
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
     double room = Math.max(0, WANTED_SHARE * bucket.capacity() - bucket.level(now));
-    double wanted = bucket.lacking(tokens, now) + room;
+    double wanted = bucket.shortfall(tokens, now) + room;
     if (lenders.isEmpty() || wanted <= 0) {
       noLoanUntil.put(account.name(), now + NO_LOAN_MILLISECONDS);
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -12,7 +12,7 @@
 import org.agatefield.forwarding.EventStreamSplitter;
 import org.agatefield.forwarding.ForwardedRequest;
 import org.agatefield.forwarding.RequestAction;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.forwarding.Route;
 import org.agatefield.forwarding.RunnerEntry;
 import org.apache.logging.log4j.LogManager;
@@ -36,7 +36,7 @@
   private final ForwardingContext parts;
   private final Route route;
   private final String service;
-  private final RequestTerms terms;
+  private final RequestMetadata terms;
   private final long deadline;
   private final ForwardedRequest state;
   private final Consumer<List<RequestAction>> followUp;
@@ -44,7 +44,7 @@
   private final RunnerEntry runner;
   private final UpstreamCall call;
   private final long sentAt = MonotonicClock.milliseconds();
-  private final int newTokens;
+  private final int uncachedTokens;
   private final double tokensAhead;
   private UpstreamResponse head;
   private UpstreamResponse answer;
@@ -55,7 +55,7 @@
   private long stallTimer = -1;
 
   /** What the attempt is for. Immutable. */
-  record Purpose(Route route, String service, RequestTerms terms, long deadline) {}
+  record Purpose(Route route, String service, RequestMetadata terms, long deadline) {}
 
   /**
    * Creates an attempt; nothing is sent yet.
@@ -87,13 +87,13 @@
             parts.dialect().runners(),
             terms.id(),
             this);
-    this.newTokens =
-        terms.prompt().map(prompt -> parts.loads().newTokens(runner.id(), prompt)).orElse(0);
-    this.tokensAhead = parts.loads().total(runner.id(), sentAt).unreadTokens() + newTokens;
+    this.uncachedTokens =
+        terms.prompt().map(prompt -> parts.loads().uncachedTokens(runner.id(), prompt)).orElse(0);
+    this.tokensAhead = parts.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
   }
 
   void start(HttpServerRequest request, Supplier<MultiMap> headers, Buffer content) {
-    parts.loads().sent(runner.id(), newTokens);
+    parts.loads().sent(runner.id(), uncachedTokens);
     terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), 1));
     watchForSilence();
     call.start(parts.client(), runner, request.method(), request.uri(), headers, content);
@@ -221,13 +221,13 @@
     }
     began = true;
     long milliseconds = MonotonicClock.milliseconds() - sentAt;
-    parts.loads().read(runner.id(), newTokens);
+    parts.loads().read(runner.id(), uncachedTokens);
     parts.selector().began(runner.id(), milliseconds);
     if (terms.prompt().isPresent()) {
-      parts.loads().measuredReading(runner.id(), tokensAhead, milliseconds);
-      parts.loads().keptParts(runner.id(), terms.prompt().get());
+      parts.loads().recordPrefillTime(runner.id(), tokensAhead, milliseconds);
+      parts.loads().recordCachedParts(runner.id(), terms.prompt().get());
     } else {
-      parts.loads().measuredRequest(runner.id(), milliseconds);
+      parts.loads().recordRequestTime(runner.id(), milliseconds);
     }
   }
 
@@ -238,7 +238,7 @@
     released = true;
     parts.vertx().cancelTimer(stallTimer);
     if (!began) {
-      parts.loads().read(runner.id(), newTokens);
+      parts.loads().read(runner.id(), uncachedTokens);
     }
     parts.loads().ended(runner.id());
     terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), -1));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.model.Address;
 
 /** How callers and the platform's checks talk to an instance. Stateless. */
@@ -23,7 +23,7 @@
   Buffer directoryAnswer(List<Address> addresses, Duration timeToLive);
 
   /** Reads what a request's headers say; absent parts are empty. */
-  RequestTerms requestTerms(MultiMap headers);
+  RequestMetadata requestTerms(MultiMap headers);
 
   /** Returns the name of the header that carries a client's key. */
   String keyHeader();
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpServerResponse;
 import io.vertx.ext.web.RoutingContext;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
@@ -20,7 +20,7 @@
   private final Context context;
   private final HttpServerResponse response;
   private final RequestTerms terms;
-  private final CompletableFuture<ServiceExchange> answer;
+  private final CompletableFuture<ServiceResponse> answer;
   private final Runnable afterwards;
   private long deadlineTimer;
   private boolean over;
@@ -29,7 +29,7 @@
       CallerApiParts parts,
       RoutingContext routing,
       RequestTerms terms,
-      CompletableFuture<ServiceExchange> answer,
+      CompletableFuture<ServiceResponse> answer,
       Runnable afterwards) {
     this.parts = parts;
     this.context = parts.vertx().getOrCreateContext();
@@ -54,7 +54,7 @@
     }
   }
 
-  private void answered(ServiceExchange exchange, Throwable failure) {
+  private void answered(ServiceResponse exchange, Throwable failure) {
     if (over) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
@@ -62,18 +62,18 @@
   }
 
   /** Sends a call that may be sent again. */
-  CompletableFuture<ServiceExchange> send(Address runner, ServiceMessage message) {
+  CompletableFuture<ServiceResponse> send(Address runner, ServiceMessage message) {
     return connect(pooled, runner, message);
   }
 
   /** Sends a call that must not be sent again. */
-  CompletableFuture<ServiceExchange> sendOnce(Address runner, ServiceMessage message) {
+  CompletableFuture<ServiceResponse> sendOnce(Address runner, ServiceMessage message) {
     return connect(unpooled, runner, message);
   }
 
-  private static CompletableFuture<ServiceExchange> connect(
+  private static CompletableFuture<ServiceResponse> connect(
       HttpClient client, Address runner, ServiceMessage message) {
-    CompletableFuture<ServiceExchange> result = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
     RequestOptions target =
         new RequestOptions()
             .setMethod(message.method())
@@ -91,7 +91,7 @@
       HttpClientRequest request,
       ServiceMessage message,
       Address runner,
-      CompletableFuture<ServiceExchange> result) {
+      CompletableFuture<ServiceResponse> result) {
     message.headers().forEach(request::putHeader);
     request.idleTimeout(message.timeout().toMillis());
     result.whenComplete((done, failure) -> resetIfUnfinished(request, result));
@@ -103,7 +103,7 @@
   }
 
   private static void resetIfUnfinished(
-      HttpClientRequest request, CompletableFuture<ServiceExchange> result) {
+      HttpClientRequest request, CompletableFuture<ServiceResponse> result) {
     if (result.isCompletedExceptionally()) {
       request.reset();
     }
@@ -127,14 +127,14 @@
   /** Collects one answer within the limit. Confined to the context of the response. */
   private static final class AnswerCollector {
     private final HttpClientResponse response;
-    private final Promise<ServiceExchange> promise = Promise.promise();
+    private final Promise<ServiceResponse> promise = Promise.promise();
     private final Buffer body = Buffer.buffer();
 
     private AnswerCollector(HttpClientResponse response) {
       this.response = response;
     }
 
-    private Future<ServiceExchange> collect() {
+    private Future<ServiceResponse> collect() {
       response.exceptionHandler(promise::tryFail);
       response.handler(this::take);
       response.endHandler(ignored -> promise.tryComplete(exchange()));
@@ -152,14 +152,14 @@
       body.appendBuffer(bytes);
     }
 
-    private ServiceExchange exchange() {
-      List<ServiceExchange.Header> headers = new ArrayList<>();
+    private ServiceResponse exchange() {
+      List<ServiceResponse.Header> headers = new ArrayList<>();
       for (Map.Entry<String, String> header : response.headers()) {
         if (!HOP_BY_HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
-          headers.add(new ServiceExchange.Header(header.getKey(), header.getValue()));
+          headers.add(new ServiceResponse.Header(header.getKey(), header.getValue()));
         }
       }
-      return new ServiceExchange(response.statusCode(), headers, body);
+      return new ServiceResponse(response.statusCode(), headers, body);
     }
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -237,7 +237,7 @@
         decision -> {
           if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
             if (random.nextDouble() < unusedShare) {
-              schedule(200, () -> member.quotas.giveBack(account, REQUEST_TOKENS));
+              schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
           }
