--- a/daemon/src/main/java/org/agatefield/daemon/Daemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/Daemon.java
@@ -18,6 +18,7 @@
 import org.agatefield.daemon.core.DemandSource;
 import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.dispatch.BoundedAdapterLoader;
 import org.agatefield.daemon.dispatch.HomeEntryDirectory;
 import org.agatefield.daemon.dispatch.RoutingDispatcher;
@@ -31,8 +32,8 @@
 import org.agatefield.daemon.operate.OperatorParts;
 import org.agatefield.daemon.peers.PeerDuty;
 import org.agatefield.daemon.placing.LedgerDirectory;
-import org.agatefield.daemon.placing.PlacementContext;
 import org.agatefield.daemon.placing.PlacementController;
+import org.agatefield.daemon.placing.PlacementContext;
 import org.agatefield.daemon.placing.PlacementTimings;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.engine.EngineClientOptions;
@@ -105,8 +106,7 @@
     engines = engineClient;
     configuration =
         closer.register(
-            new ConfigurationManager(
-                vertx, store, platform.pollInterval(), metrics, monitor, hook));
+            new ConfigurationManager(vertx, store, platform.pollInterval(), metrics, monitor, hook));
     ledgers =
         closer.register(
             new LedgerDirectory(vertx, store, platform.pollInterval(), configuration, engines));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -117,8 +117,8 @@
     closer.register(() -> vertx.close().toCompletionStage().toCompletableFuture().get());
     this.context = vertx.getOrCreateContext();
     this.waiting = new WaitingRequests(vertx);
-    this.configuration = new ConfigurationTracker(dialect.knowledge());
-    this.runners = new RunnerDirectory(dialect.knowledge());
+    this.configuration = new ConfigurationTracker(dialect.storedObjects());
+    this.runners = new RunnerDirectory(dialect.storedObjects());
     this.knowledge = new SnapshotExchange(vertx, configuration, runners);
   }
 
@@ -229,8 +229,7 @@
   }
 
   private void createWatch(ObjectSource source, ObjectKind kind, InformerListener listener) {
-    ObjectRelay relay =
-        new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
+    ObjectRelay relay = new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
     knowledgeRelays.put(kind.plural(), relay);
     ObjectInformer informer =
         new ObjectInformer(vertx, source, kind, STORE_POLL, LONGEST_STORE_DELAY);
--- a/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
@@ -44,8 +44,7 @@
       return CompletableFuture.completedFuture(Optional.empty());
     }
     String key =
-        URLEncoder.encode(
-            UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
+        URLEncoder.encode(UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
     ServiceMessage question =
         new ServiceMessage(
             HttpMethod.GET,
