--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -138,7 +138,7 @@
   /** Returns every instance that is alive and not suspected, this one first. */
   @Override
   public List<Instance> answering() {
-    return members.answering();
+    return members.reachable();
   }
 
   /** Takes other addresses to look for instances at. */
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerAnswer.java
@@ -12,7 +12,7 @@
  */
 interface CallerAnswer {
   /** Takes the next part of the current attempt. */
-  void part(EngineAnswerPart part);
+  void accept(EngineAnswerPart part);
 
   /** Forgets what was held back of an attempt that failed; what was written stays. */
   void attemptFailed();
