--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -33,8 +33,7 @@
  * thread. Created and closed by other threads, which wait for the loop; else safe for use by any
  * thread.
  */
-final class ForwardingPeers
-    implements LoadExchange.Fleet, RegionalQuotaPolicy.Fleet, AutoCloseable {
+final class ForwardingPeers implements LoadExchange.Fleet, RegionalQuotaPolicy.Fleet, AutoCloseable {
   // Callers keep an answer that names a dead instance for seconds, so the dead are found in about
   // two.
   private static final long PROBE_MILLISECONDS = 600;
@@ -139,7 +138,7 @@
   /** Returns every instance that is alive and not suspected, this one first. */
   @Override
   public List<Instance> answering() {
-    return members.answering();
+    return members.reachable();
   }
 
   /** Takes other addresses to look for instances at. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
@@ -11,7 +11,4 @@
  * @param store talks to the store
  */
 public record PlatformDialect(
-    CallerDialect callers,
-    RunnerDialect runners,
-    StoredObjectDialect storedObjects,
-    StoreDialect store) {}
+    CallerDialect callers, RunnerDialect runners, StoredObjectDialect knowledge, StoreDialect store) {}
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -38,7 +38,7 @@
   @FunctionalInterface
   public interface GenerationListener {
     /** A member has a configuration of that generation. */
-    void heard(Instance holder, long generation);
+    void observed(Instance holder, long generation);
   }
 
   /**
@@ -100,7 +100,7 @@
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       memberChanged(changed.update());
     } else if (action instanceof MembershipAction.GenerationObserved heard) {
-      generationListener.heard(heard.holder(), heard.generation());
+      generationListener.observed(heard.holder(), heard.generation());
     }
   }
 
