--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -9,6 +9,7 @@
 import org.agatefield.daemon.core.Dispatch;
 import org.agatefield.daemon.core.DispatchOutcome;
 import org.agatefield.daemon.core.Dispatcher;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
 import org.agatefield.daemon.core.ServiceResponse;
--- a/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
@@ -5,6 +5,7 @@
 import org.agatefield.daemon.core.DispatchOutcome;
 import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -23,6 +23,7 @@
 import org.agatefield.placement.PlacementPolicy;
 import org.agatefield.placement.PlannedMove;
 import org.agatefield.placement.PlannedOrder;
+import org.agatefield.placement.ReconciliationStep;
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
@@ -241,7 +242,7 @@
             result != OrderResult.REFUSED_NO_MEMORY,
             () -> runner.name() + " had no memory for what its ledger reserved: " + order);
     if (result == OrderResult.DONE && order.action() == PlannedOrder.Action.UNLOAD) {
-      ages.unloaded(runner.name(), order.version(), order.fencingToken(), sentAt);
+      ages.recordUnload(runner.name(), order.version(), order.fencingToken(), sentAt);
     }
   }
 
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimState.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimState.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the state of a new arrival. */
-  public static <A> ClaimState<A> arrived() {
+  public static <A> ClaimState<A> initial() {
     return in(Phase.READING);
   }
 
--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedAttempt.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/SimulatedAttempt.java
@@ -20,7 +20,7 @@
   private final CallAttempt arrival;
   private final Claim<String> claim;
   private final int sendsBefore;
-  private ClaimState<String> state = ClaimState.arrived();
+  private ClaimState<String> state = ClaimState.initial();
   private Optional<SimulatedClaimStore.Versioned> lastRead = Optional.empty();
   private boolean replied;
 
--- a/placement/src/main/java/org/agatefield/placement/DemandTracker.java
+++ b/placement/src/main/java/org/agatefield/placement/DemandTracker.java
@@ -62,7 +62,7 @@
   }
 
   /** Takes in a report. */
-  public void reported(String instance, List<ModelDemand> demands, long nowMilliseconds) {
+  public void record(String instance, List<ModelDemand> demands, long nowMilliseconds) {
     reports.put(instance, new InstanceReport(List.copyOf(demands), nowMilliseconds));
     for (ModelDemand demand : demands) {
       ModelRate rate = rates.computeIfAbsent(demand.model(), ignored -> new ModelRate());
