--- a/admission/src/main/java/org/agatefield/admission/DrainMeter.java
+++ b/admission/src/main/java/org/agatefield/admission/DrainMeter.java
@@ -81,7 +81,7 @@
     return (long) Math.min(requests * perRequest, (double) TimeUnit.DAYS.toNanos(1));
   }
 
-  private static double smooth(double old, double recordServiceTime) {
-    return old + SMOOTHING * (recordServiceTime - old);
+  private static double smooth(double old, double measured) {
+    return old + SMOOTHING * (measured - old);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -228,8 +228,7 @@
   }
 
   private void createWatch(ObjectSource source, ObjectKind kind, InformerListener listener) {
-    ObjectRelay relay =
-        new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
+    ObjectRelay relay = new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
     knowledgeRelays.put(kind.plural(), relay);
     ObjectInformer informer =
         new ObjectInformer(vertx, source, kind, STORE_POLL, LONGEST_STORE_DELAY);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -154,7 +154,7 @@
       parts.notices().leavingReported(runner);
     }
     dialect
-        .quietMilliseconds(received.status(), received.headers())
+        .backoffMilliseconds(received.status(), received.headers())
         .ifPresent(quiet -> parts.notices().backoffRequested(runner, quiet));
   }
 
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
@@ -39,7 +39,7 @@
     private int pendingPrefillTokens;
     private double millisecondsPerToken = INITIAL_PREFILL_MILLISECONDS_PER_TOKEN;
     private double millisecondsPerRequest = INITIAL_MILLISECONDS_PER_REQUEST;
-    private final Map<String, Boolean> recordCachedParts =
+    private final Map<String, Boolean> cachedParts =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1;
 
@@ -223,7 +223,7 @@
   public void clearCachedParts(String runner) {
     OwnLoad load = own.get(runner);
     if (load != null) {
-      load.recordCachedParts.clear();
+      load.cachedParts.clear();
     }
   }
 
