--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedAttempt.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/SimulatedAttempt.java
@@ -7,7 +7,7 @@
 import org.agatefield.model.ErrorKind;
 import org.agatefield.model.RunState;
 
-/** One arrival of the call in a process of the simulated world. Used from one thread. */
+/** One attempt of the call in a process of the simulation. Confined to one thread. */
 final class SimulatedAttempt {
   private static final Throwable NO_UPSTREAM =
       new AgatefieldException(ErrorKind.NO_UPSTREAM, "none");
@@ -17,7 +17,7 @@
   private final ClaimProtocol<String> protocol = new ClaimProtocol<>();
   private final SimulatedWorld world;
   private final int process;
-  private final CallAttempt arrival;
+  private final CallAttempt attempt;
   private final Claim<String> claim;
   private final int sendsBefore;
   private ClaimState<String> state = ClaimState.initial();
@@ -27,11 +27,11 @@
   SimulatedAttempt(SimulatedWorld world, int process) {
     this.world = world;
     this.process = process;
-    String attempt = process + "/" + world.random.nextInt(1_000_000);
+    String attemptId = process + "/" + world.random.nextInt(1_000_000);
     long joinUntil = world.now + world.random.nextInt(50);
     long deadline = world.now + 20 + world.random.nextInt(500);
-    this.arrival = new CallAttempt(attempt, "body", deadline, joinUntil, world.chance(0.3));
-    this.claim = new Claim<>(attempt, "" + process, "body", 0, 0, 0, Optional.empty());
+    this.attempt = new CallAttempt(attemptId, "body", deadline, joinUntil, world.chance(0.3));
+    this.claim = new Claim<>(attemptId, "" + process, "body", 0, 0, 0, Optional.empty());
     this.sendsBefore = world.sends;
   }
 
@@ -40,17 +40,17 @@
   }
 
   private void later(ClaimEvent<String> event) {
-    world.inProcess(process, () -> feed(event));
+    world.inProcess(process, () -> handle(event));
   }
 
-  private void feed(ClaimEvent<String> event) {
+  private void handle(ClaimEvent<String> event) {
     ClaimEvent<String> altered = alter(event);
-    ClaimStep<String> step = protocol.next(state, altered, arrival, world.now);
+    ClaimStep<String> step = protocol.next(state, altered, attempt, world.now);
     state = step.state();
     perform(step);
   }
 
-  /** Alters an event as a protocol with the fault would take it. */
+  /** Alters an event so that the protocol acts as if it had the fault. */
   private ClaimEvent<String> alter(ClaimEvent<String> event) {
     boolean readingBack = state.phase() == ClaimState.Phase.READING_BACK;
     if (world.fault == Fault.SEND_AFTER_ABSENT_READ_BACK
@@ -98,7 +98,7 @@
     } else if (action instanceof ClaimAction.PollLater) {
       later(new ClaimEvent.PollDue<>());
     } else if (action instanceof ClaimAction.QueryService) {
-      ask();
+      queryService();
     } else if (action instanceof ClaimAction.Record<String> write) {
       write
           .outcome()
@@ -112,7 +112,7 @@
 
   private void performEnd(ClaimAction<String> action) {
     if (action instanceof ClaimAction.Remove) {
-      world.abandoned.add(arrival.attemptId());
+      world.abandoned.add(attempt.attemptId());
       world.inProcess(process, this::remove);
     } else if (action instanceof ClaimAction.RemoveFound) {
       long version = lastRead.orElseThrow().version();
@@ -141,17 +141,17 @@
         process,
         () -> {
           lastRead = found;
-          feed(found.map(this::found).orElseGet(ClaimEvent.Absent::new));
+          handle(found.map(this::foundEvent).orElseGet(ClaimEvent.Absent::new));
         });
   }
 
-  private ClaimEvent<String> found(SimulatedClaimStore.Versioned found) {
+  private ClaimEvent<String> foundEvent(SimulatedClaimStore.Versioned found) {
     boolean mine = found.claim().attemptId().startsWith(process + "/");
     if (mine && world.abandoned.contains(found.claim().attemptId())) {
       return new ClaimEvent.Found<>(found.claim(), HolderState.ABANDONED);
     }
-    HolderState judged = world.chance(0.5) ? HolderState.RUNNING : HolderState.GONE;
-    return new ClaimEvent.Found<>(found.claim(), judged);
+    HolderState holderState = world.chance(0.5) ? HolderState.RUNNING : HolderState.GONE;
+    return new ClaimEvent.Found<>(found.claim(), holderState);
   }
 
   private void create() {
@@ -210,7 +210,7 @@
     return "answer of " + claim.attemptId();
   }
 
-  private void ask() {
+  private void queryService() {
     boolean knows = !world.executedAnswers.isEmpty() && world.chance(0.7);
     later(
         knows
@@ -218,7 +218,7 @@
             : new ClaimEvent.OutcomeUnavailable<>());
   }
 
-  /** Writes the outcome until the store shows it. */
+  /** Writes the outcome until the store contains it. */
   private void record(Claim.Outcome<String> outcome) {
     Optional<SimulatedClaimStore.Versioned> found = world.store.read();
     boolean own = found.filter(this::isOwn).isPresent();
@@ -232,16 +232,16 @@
                 .isPresent();
     if (!own || over) {
       if (!own && world.fault == Fault.NONE) {
-        world.violations.add("the claim of a call that was sent is gone");
+        world.violations.add("the claim of a call that was sent is missing");
       }
       return;
     }
     long version = found.get().version();
     BooleanWrite update = () -> world.store.update(version, claim.withOutcome(outcome));
-    retried(update, () -> record(outcome));
+    writeWithRetry(update, () -> record(outcome));
   }
 
-  /** Removes the own claim until the store no longer shows it and nothing is on the wire. */
+  /** Removes the own claim, with retries while its creation may still take effect. */
   private void remove() {
     Optional<SimulatedClaimStore.Versioned> found = world.store.read();
     if (found.filter(this::isOwn).isEmpty()) {
@@ -251,7 +251,7 @@
       return;
     }
     long version = found.get().version();
-    retried(() -> world.store.delete(version), this::remove);
+    writeWithRetry(() -> world.store.delete(version), this::remove);
   }
 
   private void removeFound(long version) {
@@ -259,7 +259,7 @@
     later(new ClaimEvent.Removed<>());
   }
 
-  private void retried(BooleanWrite write, Runnable again) {
+  private void writeWithRetry(BooleanWrite write, Runnable again) {
     world.onWire(
         () ->
             world.write(
@@ -290,25 +290,25 @@
     world.replies++;
     replied();
     if (!world.executedAnswers.contains(answer)) {
-      world.violations.add("answer of no execution: " + answer);
+      world.violations.add("answer does not come from an execution: " + answer);
     }
   }
 
   private void refused(RunState runState) {
     replied();
     if (runState == RunState.NO && sendsBefore > 0) {
-      world.violations.add("refused as not run although it was sent before the arrival");
+      world.violations.add("refused as not run although the call was sent before the attempt");
     }
   }
 
   private void replied() {
     if (replied && world.fault == Fault.NONE) {
-      world.violations.add("two answers to one arrival");
+      world.violations.add("two answers to one attempt");
     }
     replied = true;
   }
 
-  /** A conditional write that says whether its condition held. */
+  /** A conditional write that returns whether its condition held. */
   private interface BooleanWrite {
     boolean apply();
   }
--- a/lease/src/test/java/org/agatefield/lease/SimulatedHolder.java
+++ b/lease/src/test/java/org/agatefield/lease/SimulatedHolder.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 import org.agatefield.lease.SimulatedLeaseWorld.Fault;
 
-/** One process that contends for the lease, with a clock of its own. Used from one thread. */
+/** A process that competes for the lease, with its own clock. Confined to one thread. */
 final class SimulatedHolder {
   private static final long DURATION = 100_000_000;
   private static final long RENEWAL = 25_000_000;
   private static final long DRIFT_PER_MILLION = 10_000;
-  private static final double LARGEST_RATE_ERROR = 0.0099;
+  private static final double MAXIMUM_RATE_ERROR = 0.0099;
 
   private final SimulatedLeaseWorld world;
   private final int process;
@@ -22,14 +22,14 @@
   SimulatedHolder(SimulatedLeaseWorld world, int process) {
     this.world = world;
     this.process = process;
-    double error = (world.random.nextDouble() * 2 - 1) * LARGEST_RATE_ERROR;
+    double error = (world.random.nextDouble() * 2 - 1) * MAXIMUM_RATE_ERROR;
     this.clockRate = 1 + error / 2;
     this.clockStart = world.random.nextInt();
     long drift = world.fault == Fault.IGNORE_CLOCK_DRIFT ? 0 : DRIFT_PER_MILLION;
     this.protocol = new LeaseProtocol("p" + process, new LeaseTerms(DURATION, RENEWAL, drift));
   }
 
-  /** Takes the next step, unless an answer is awaited. */
+  /** Executes the next step unless a response is pending. */
   void step() {
     if (waiting) {
       return;
@@ -46,16 +46,18 @@
     world.onWire(
         () -> {
           Optional<SimulatedLeaseWorld.Versioned> found = world.read();
-          world.onWire(() -> readCompleted(found));
+          world.onWire(() -> onReadCompleted(found));
         });
   }
 
-  private void readCompleted(Optional<SimulatedLeaseWorld.Versioned> found) {
+  private void onReadCompleted(Optional<SimulatedLeaseWorld.Versioned> found) {
     waiting = false;
     mustRead = false;
     state =
         found
-            .map(seen -> protocol.observe(state, "" + seen.version(), seen.lease(), clock()))
+            .map(
+                observed ->
+                    protocol.observe(state, "" + observed.version(), observed.lease(), clock()))
             .orElseGet(() -> protocol.observeAbsent(state));
   }
 
@@ -83,18 +85,19 @@
     if (state.observed().isEmpty()) {
       return decision;
     }
-    LeaseState.Observation seen = state.observed().get();
-    long waited = clock() - seen.unchangedSinceNanoseconds();
+    LeaseState.Observation observed = state.observed().get();
+    long waited = clock() - observed.unchangedSinceNanoseconds();
     boolean half = world.fault == Fault.CHALLENGE_AFTER_HALF && waited > DURATION / 2;
     if (decision instanceof LeaseDecision.Wait
         && (half || world.fault == Fault.CHALLENGE_WITHOUT_WAITING)) {
-      long token = seen.lease().fencingToken() + 1;
+      long token = observed.lease().fencingToken() + 1;
       return new LeaseDecision.Update(
-          seen.version(), new LeaseRecord("p" + process, token, DURATION));
+          observed.version(), new LeaseRecord("p" + process, token, DURATION));
     }
     if (decision instanceof LeaseDecision.Update update && world.fault == Fault.KEEP_TOKEN) {
       return new LeaseDecision.Update(
-          seen.version(), new LeaseRecord("p" + process, seen.lease().fencingToken(), DURATION));
+          observed.version(),
+          new LeaseRecord("p" + process, observed.lease().fencingToken(), DURATION));
     }
     return decision;
   }
@@ -106,20 +109,20 @@
       } else {
         world.write(expected, lease);
       }
-      world.onWire(this::unknown);
+      world.onWire(this::onWriteUnknown);
       return;
     }
     boolean held = world.write(expected, lease);
     long version = world.version();
-    world.onWire(() -> written(held, lease, version, sentAt));
+    world.onWire(() -> onWritten(held, lease, version, sentAt));
   }
 
-  private void unknown() {
+  private void onWriteUnknown() {
     waiting = false;
     mustRead = true;
   }
 
-  private void written(boolean held, LeaseRecord lease, long version, long sentAt) {
+  private void onWritten(boolean held, LeaseRecord lease, long version, long sentAt) {
     waiting = false;
     if (!held) {
       mustRead = true;
@@ -128,7 +131,7 @@
     long from = world.fault == Fault.TRUST_FROM_ANSWER ? clock() : sentAt;
     state = protocol.recordWrite(lease, "" + version, from, clock());
     LeaseGrant grant = state.grant().orElseThrow();
-    double until = real(grant.validUntilNanoseconds());
+    double until = toRealNanoseconds(grant.validUntilNanoseconds());
     if (until > world.realNanoseconds) {
       world.grants.add(
           new SimulatedLeaseWorld.RealGrant(
@@ -140,7 +143,7 @@
     return clockStart + (long) (world.realNanoseconds * clockRate);
   }
 
-  private double real(long clockNanoseconds) {
+  private double toRealNanoseconds(long clockNanoseconds) {
     return (clockNanoseconds - clockStart) / clockRate;
   }
 }
--- a/peer/src/main/java/org/agatefield/peer/NettyPeerTransport.java
+++ b/peer/src/main/java/org/agatefield/peer/NettyPeerTransport.java
@@ -25,8 +25,9 @@
 /**
  * A peer transport over TCP.
  *
- * <p>A connection is opened when something is first sent to a peer and is used both ways; when two
- * peers open one at the same moment, both may live until one is idle. Safe for use by any thread.
+ * <p>A connection is opened when the first message is sent to a peer and carries messages in both
+ * directions. If two peers connect to each other at the same time, both connections may exist until
+ * one is closed as idle. Thread-safe.
  */
 public final class NettyPeerTransport implements PeerTransport {
   private final EventLoopGroup group;
@@ -42,11 +43,11 @@
   private volatile boolean closed;
 
   /**
-   * Starts to listen.
+   * Creates a transport and starts to listen.
    *
    * @param group runs the connections; the owner shuts it down after {@link #close()}
-   * @param listener where to listen; the connection's other side learns this address
-   * @throws AgatefieldException if the address cannot be listened on
+   * @param listener the address to listen on, which is also announced to peers
+   * @throws AgatefieldException if the address cannot be bound
    */
   public NettyPeerTransport(
       EventLoopGroup group,
@@ -105,7 +106,7 @@
     handler = newHandler;
   }
 
-  /** Returns the counts of what was carried. */
+  /** Returns the counters of this transport. */
   public PeerTraffic traffic() {
     return traffic;
   }
@@ -179,7 +180,7 @@
         .build();
   }
 
-  /** Notes that a peer opened a connection, which is then used towards it too. */
+  /** Registers a connection that a peer opened, to send messages to that peer as well. */
   void accepted(Address opener, PeerConnection connection) {
     register(connection.channel());
     connections.putIfAbsent(opener, CompletableFuture.completedFuture(connection));
@@ -202,7 +203,7 @@
     channels.close().awaitUninterruptibly();
   }
 
-  /** Drops and refuses everything until a handler is set. */
+  /** Drops messages and refuses requests until a handler is set. */
   private static final class UnreadyHandler implements PeerHandler {
     @Override
     public void received(PeerMessage message) {}
--- a/peer/src/main/java/org/agatefield/peer/PeerConnection.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerConnection.java
@@ -21,10 +21,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One open connection: matches answers to requests and hands everything else to the handler.
+ * One open connection. Matches answers to requests and passes all other messages to the handler.
  *
- * <p>Invariant: every request's future completes, at the latest when the connection closes. Safe
- * for use by any thread; frames come in on the channel's event loop.
+ * <p>Invariant: the future of every request completes, at the latest when the connection closes.
+ * Thread-safe; frames are received on the channel's event loop.
  */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
   private static final Logger LOGGER = LogManager.getLogger(PeerConnection.class);
@@ -54,7 +54,7 @@
     write(PeerCodec.encode(0, false, message));
   }
 
-  /** Writes a frame unless too much waits to be written; says whether it did. */
+  /** Writes a frame, or drops it and returns false if the write buffer is full. */
   boolean write(Envelope envelope) {
     if (!channel.isWritable()) {
       transport.traffic().dropped();
--- a/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
+++ b/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
@@ -24,7 +24,7 @@
   private final RunnerLedger unloading = LedgerTransitions.unload(loading, VERSION);
 
   @Test
-  void memoryOfVersionsThatAreStillBeingLoadedIsNotReleasedOnReportsAlone() {
+  void memoryOfVersionThatIsStillLoadingIsNotReleasedOnReportAlone() {
     RunnerObservation reported = observed(20, List.of(), unloading.highestToken(), 10);
     ReconciliationStep step = next(unloading, reported, true, 10).orElseThrow();
     assertFalse(step.releasesMemory());
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void memoryIsReleasedOnceTheEngineUnloadedAndSawTheToken() {
+  void memoryIsReleasedOnceTheEngineUnloadedAndReportsTheToken() {
     ages.observe(unloading, 1);
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     RunnerObservation reported = observed(0, List.of(), unloading.highestToken(), 10);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void enginesThatIgnoreTokensAreWaitedForAndAskedToUnloadAgainAfterTheQuarantine() {
+  void engineThatIgnoresTokensGetsSecondUnloadOrderAfterTheQuarantine() {
     ages.observe(unloading, 1);
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     assertEquals(Optional.empty(), next(unloading, observed(0, List.of(), 0, 90), false, 90));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void nothingIsLoadedBesideMemoryThatTheLedgerDoesNotExplain() {
+  void nothingIsLoadedWhileUnexplainedMemoryLeavesTooLittleSpace() {
     assertEquals(Optional.empty(), next(loading, observed(31, List.of(), 0, 10), true, 10));
     assertEquals(
         PlannedOrder.Action.LOAD,
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void enginesThatRestartedAreFirstMadeToRefuseEarlierOrders() {
+  void restartedEngineIsFirstOrderedToRefuseEarlierOrders() {
     LoadReport report = new LoadReport("boot-2", 50, 0, 0, 0, List.of(), List.of(), 0);
     ReconciliationStep step =
         next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void versionsThatAnEngineHoldsWithoutAnEntryAreCounted() {
+  void versionLoadedWithoutAnEntryGetsOne() {
     RunnerObservation reported = observed(20, List.of("m@v0"), 0, 10);
     RunnerLedger adopted = next(loading, reported, true, 10).orElseThrow().ledger();
     LedgerEntry entry = adopted.entry(new VersionId("m", "v0")).orElseThrow();
