--- a/idempotency/src/test/java/org/agatefield/idempotency/ClaimProtocolTest.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/ClaimProtocolTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.agatefield.idempotency.SimulatedWorld.Fault;
+import org.agatefield.idempotency.ClaimSimulation.Fault;
 import org.junit.jupiter.api.Test;
 
 /** Tests requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL with random interleavings of faults. */
@@ -22,18 +22,18 @@
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0, max = 0.5) double faultShare,
       @ForAll @IntRange(min = 1, max = 12) int attempts) {
-    SimulatedWorld world = new SimulatedWorld(seed, faultShare, Fault.NONE);
-    world.run(attempts);
-    assertEquals(List.of(), world.violations);
+    ClaimSimulation simulation = new ClaimSimulation(seed, faultShare, Fault.NONE);
+    simulation.run(attempts);
+    assertEquals(List.of(), simulation.violations);
   }
 
   /** In these seeds the call once ran twice: an attempt continued while its claim was removed. */
   @Test
   void attemptWhoseClaimIsBeingRemovedDoesNotClaimAgain() {
     for (long seed : new long[] {273, 4363, 31478, 54911, 56905}) {
-      SimulatedWorld world = new SimulatedWorld(seed, 0.3, Fault.NONE);
-      world.run(12);
-      assertEquals(List.of(), world.violations);
+      ClaimSimulation simulation = new ClaimSimulation(seed, 0.3, Fault.NONE);
+      simulation.run(12);
+      assertEquals(List.of(), simulation.violations);
     }
   }
 
@@ -54,19 +54,19 @@
 
   @Test
   void withoutFaultsTheFirstAttemptRunsAndAllGetItsAnswer() {
-    SimulatedWorld world = new SimulatedWorld(1, 0, Fault.NONE);
-    world.run(10);
-    assertEquals(List.of(), world.violations);
-    assertEquals(1, world.executedAnswers.size());
+    ClaimSimulation simulation = new ClaimSimulation(1, 0, Fault.NONE);
+    simulation.run(10);
+    assertEquals(List.of(), simulation.violations);
+    assertEquals(1, simulation.executedAnswers.size());
   }
 
   @Test
   void callIsExecutedInMostRunsWithFaults() {
     long executed = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      SimulatedWorld world = new SimulatedWorld(seed, 0.2, Fault.NONE);
-      world.run(8);
-      executed += world.executedAnswers.size();
+      ClaimSimulation simulation = new ClaimSimulation(seed, 0.2, Fault.NONE);
+      simulation.run(8);
+      executed += simulation.executedAnswers.size();
     }
     System.out.println("NONE: executed in " + executed + " of " + RUNS + " runs");
     assertTrue(executed > RUNS / 2);
@@ -101,9 +101,9 @@
   private static long runsWithViolations(Fault fault) {
     long violated = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      SimulatedWorld world = new SimulatedWorld(seed, 0.2, fault);
-      world.run(8);
-      violated += world.violations.isEmpty() ? 0 : 1;
+      ClaimSimulation simulation = new ClaimSimulation(seed, 0.2, fault);
+      simulation.run(8);
+      violated += simulation.violations.isEmpty() ? 0 : 1;
     }
     System.out.println(fault + ": violations in " + violated + " of " + RUNS + " runs");
     return violated;
--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedWorld.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/ClaimSimulation.java
@@ -12,7 +12,7 @@
  * responses are lost, late or refused, for one idempotency key. Confined to one thread; the same
  * seed gives the same run.
  */
-final class SimulatedWorld {
+final class ClaimSimulation {
   /** Faults of the protocol, each of which must cause violations. */
   enum Fault {
     NONE,
@@ -43,7 +43,7 @@
   /** An action that may run next: on the wire, or in a process. */
   private record Task(int process, Runnable action) {}
 
-  SimulatedWorld(long seed, double faultShare, Fault fault) {
+  ClaimSimulation(long seed, double faultShare, Fault fault) {
     this.random = new Random(seed);
     this.faultShare = faultShare;
     this.fault = fault;
--- a/lease/src/test/java/org/agatefield/lease/LeaseProtocolTest.java
+++ b/lease/src/test/java/org/agatefield/lease/LeaseProtocolTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.agatefield.lease.SimulatedLeaseWorld.Fault;
-import org.agatefield.lease.SimulatedLeaseWorld.RealGrant;
+import org.agatefield.lease.LeaseSimulation.Fault;
+import org.agatefield.lease.LeaseSimulation.RealGrant;
 import org.junit.jupiter.api.Test;
 
 class LeaseProtocolTest {
@@ -24,7 +24,7 @@
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0, max = 0.5) double faultShare,
       @ForAll @IntRange(min = 1, max = 5) int contenders) {
-    List<RealGrant> grants = new SimulatedLeaseWorld(seed, faultShare, Fault.NONE).run(contenders);
+    List<RealGrant> grants = new LeaseSimulation(seed, faultShare, Fault.NONE).run(contenders);
     assertEquals(List.of(), violations(grants));
   }
 
@@ -32,7 +32,7 @@
   void leaseChangesItsHolderInMostRunsWithFaults() {
     long changed = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      List<RealGrant> grants = new SimulatedLeaseWorld(seed, 0.2, Fault.NONE).run(4);
+      List<RealGrant> grants = new LeaseSimulation(seed, 0.2, Fault.NONE).run(4);
       changed += grants.stream().map(RealGrant::process).distinct().count() > 1 ? 1 : 0;
     }
     System.out.println("NONE: holder changed in " + changed + " of " + RUNS + " runs");
@@ -127,7 +127,7 @@
   private static long runsWithViolations(Fault fault) {
     long violated = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      List<RealGrant> grants = new SimulatedLeaseWorld(seed, 0.2, fault).run(4);
+      List<RealGrant> grants = new LeaseSimulation(seed, 0.2, fault).run(4);
       violated += violations(grants).isEmpty() ? 0 : 1;
     }
     System.out.println(fault + ": violations in " + violated + " of " + RUNS + " runs");
--- a/lease/src/test/java/org/agatefield/lease/SimulatedLeaseWorld.java
+++ b/lease/src/test/java/org/agatefield/lease/LeaseSimulation.java
@@ -9,7 +9,7 @@
  * Simulates processes with drifting clocks that compete for one lease, in a store whose writes are
  * delayed and whose responses are lost. Confined to one thread; the same seed gives the same run.
  */
-final class SimulatedLeaseWorld {
+final class LeaseSimulation {
   /** Faults of the protocol, each of which must cause violations. */
   enum Fault {
     NONE,
@@ -40,7 +40,7 @@
   private long lastVersion;
   private int processes;
 
-  SimulatedLeaseWorld(long seed, double faultShare, Fault fault) {
+  LeaseSimulation(long seed, double faultShare, Fault fault) {
     this.random = new Random(seed);
     this.faultShare = faultShare;
     this.fault = fault;
--- a/membership/src/main/java/org/agatefield/membership/DomainRelays.java
+++ b/membership/src/main/java/org/agatefield/membership/DomainRelays.java
@@ -22,7 +22,10 @@
  * view select the same relays. Immutcandidates.
  */
 public final class DomainRelays {
-  /** Largest failure domain without a relay; in smaller ones a relay would mostly add delay. */
+  /**
+   * Number of instances up to which a failure domain has no relay. A relay would save few messages
+   * there, at the price of additional delay.
+   */
   public static final int LARGEST_DIRECT_DOMAIN = 3;
 
   private static final int MAXIMUM_SOURCES = 3; // two may fail at the same time
--- a/membership/src/test/java/org/agatefield/membership/MembershipTest.java
+++ b/membership/src/test/java/org/agatefield/membership/MembershipTest.java
@@ -24,7 +24,7 @@
   void allMembersFindEachOtherFromOneSeedAddress(
       @ForAll long seed, @ForAll @IntRange(min = 2, max = 40) int members) {
     SimulatedGroup group = new SimulatedGroup(seed, SETTINGS);
-    unreliable(group);
+    makeUnreliable(group);
     group.startMany(members, "north", "south");
     assertTrue(group.runUntil(group::hasConverged, LIMIT_MILLISECONDS));
   }
@@ -32,9 +32,9 @@
   @Property(tries = 40, seed = "12")
   void lossDelayAndDuplicationNeverCausePermanentDeaths(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 16, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     group.run(120_000);
-    reliable(group);
+    makeReliable(group);
     assertTrue(group.runUntil(group::hasConverged, LIMIT_MILLISECONDS));
   }
 
@@ -46,7 +46,7 @@
   @Property(tries = 40, seed = "13")
   void crashedMemberIsDeadEverywhereAndStaysDead(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 16, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     Node crashed = group.nodes.get("m005");
     crashed.crashed = true;
     assertTrue(group.runUntil(() -> isPresentNowhere(group, "m005"), LIMIT_MILLISECONDS));
@@ -104,7 +104,7 @@
   @Property(tries = 40, seed = "17")
   void leavingMemberIsSoonKnownAsLeavingAndNeverAsLiveAgain(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 24, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     Node leaving = group.nodes.get("m007");
     group.leave(leaving);
     Set<Node> informed = new HashSet<>();
@@ -171,7 +171,7 @@
 
   static long deathsUnderLoss(long seed, MembershipSettings settings) {
     SimulatedGroup group = joined(seed, settings, 16, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     group.run(120_000);
     return group.running().stream().mapToLong(node -> node.deathsSeen.size()).sum();
   }
@@ -234,13 +234,13 @@
     return group;
   }
 
-  private static void unreliable(SimulatedGroup group) {
+  private static void makeUnreliable(SimulatedGroup group) {
     group.lossShare = 0.1;
     group.duplicateShare = 0.1;
     group.maximumDelay = 200;
   }
 
-  private static void reliable(SimulatedGroup group) {
+  private static void makeReliable(SimulatedGroup group) {
     group.lossShare = 0;
     group.duplicateShare = 0;
     group.maximumDelay = 5;
--- a/model/src/main/java/org/agatefield/model/AgatefieldException.java
+++ b/model/src/main/java/org/agatefield/model/AgatefieldException.java
@@ -44,6 +44,7 @@
     this.retryAfter = retryAfter;
   }
 
+  /** Returns the kind of this failure. */
   public ErrorKind kind() {
     return kind;
   }
--- a/peer/src/main/java/org/agatefield/peer/NettyPeerTransport.java
+++ b/peer/src/main/java/org/agatefield/peer/NettyPeerTransport.java
@@ -39,7 +39,7 @@
       new ConcurrentHashMap<>();
   private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Channel server;
-  private volatile PeerHandler handler = new UnreadyHandler();
+  private volatile PeerHandler handler = new NotReadyHandler();
   private volatile boolean closed;
 
   /**
@@ -121,14 +121,14 @@
   }
 
   private CompletableFuture<PeerConnection> connection(Address peer) {
-    CompletableFuture<PeerConnection> known = connections.get(peer);
-    if (known != null) {
-      return known;
+    CompletableFuture<PeerConnection> existing = connections.get(peer);
+    if (existing != null) {
+      return existing;
     }
     CompletableFuture<PeerConnection> created = new CompletableFuture<>();
-    known = connections.putIfAbsent(peer, created);
-    if (known != null) {
-      return known;
+    existing = connections.putIfAbsent(peer, created);
+    if (existing != null) {
+      return existing;
     }
     if (closed) {
       connections.remove(peer, created);
@@ -148,10 +148,10 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) settings.connectTimeout().toMillis())
         .handler(PeerPipeline.outgoing(this, settings, tls.map(PeerTls::client), peer))
         .connect(peer.host(), peer.port())
-        .addListener(future -> opened(peer, created, (ChannelFuture) future));
+        .addListener(future -> onConnected(peer, created, (ChannelFuture) future));
   }
 
-  private void opened(
+  private void onConnected(
       Address peer, CompletableFuture<PeerConnection> created, ChannelFuture future) {
     if (!future.isSuccess()) {
       connections.remove(peer, created);
@@ -181,12 +181,12 @@
   }
 
   /** Registers a connection that a peer opened, to send messages to that peer as well. */
-  void accepted(Address opener, PeerConnection connection) {
+  void onAccepted(Address opener, PeerConnection connection) {
     register(connection.channel());
     connections.putIfAbsent(opener, CompletableFuture.completedFuture(connection));
   }
 
-  void closed(PeerConnection connection) {
+  void onClosed(PeerConnection connection) {
     connections
         .values()
         .removeIf(
@@ -204,7 +204,7 @@
   }
 
   /** Drops messages and refuses requests until a handler is set. */
-  private static final class UnreadyHandler implements PeerHandler {
+  private static final class NotReadyHandler implements PeerHandler {
     @Override
     public void received(PeerMessage message) {}
 
--- a/peer/src/main/java/org/agatefield/peer/PeerConnection.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerConnection.java
@@ -73,21 +73,22 @@
     long number = lastRequest.incrementAndGet();
     openRequests.put(number, future);
     if (!write(PeerCodec.encode(number, false, message))) {
-      future.completeExceptionally(failure("too much waits to be written", null));
+      future.completeExceptionally(failure("the write buffer is full", null));
     }
     if (closed) {
       failOpenRequests();
     }
-    Future<?> limit =
+    Future<?> timeout =
         channel
             .eventLoop()
             .schedule(
-                () -> future.completeExceptionally(failure("no answer in time", null)),
+                () ->
+                    future.completeExceptionally(failure("timed out waiting for the answer", null)),
                 settings.requestTimeout().toMillis(),
                 TimeUnit.MILLISECONDS);
     future.whenComplete(
         (answer, failure) -> {
-          limit.cancel(false);
+          timeout.cancel(false);
           openRequests.remove(number);
         });
     return future;
@@ -97,11 +98,11 @@
   protected void channelRead0(ChannelHandlerContext context, Envelope envelope) {
     if (envelope.hasHello()) {
       Address opener = MembershipCodec.decodeAddress(envelope.getHello().getAddress());
-      transport.accepted(opener, this);
+      transport.onAccepted(opener, this);
       return;
     }
     if (envelope.getAnswer()) {
-      answered(envelope);
+      completeRequest(envelope);
       return;
     }
     Optional<PeerMessage> message = PeerCodec.decode(envelope);
@@ -113,10 +114,10 @@
       transport.handler().received(message.get());
       return;
     }
-    answer(envelope, message.get());
+    handleRequest(envelope, message.get());
   }
 
-  private void answer(Envelope envelope, PeerMessage message) {
+  private void handleRequest(Envelope envelope, PeerMessage message) {
     transport
         .handler()
         .requested(message)
@@ -136,7 +137,7 @@
     }
   }
 
-  private void answered(Envelope envelope) {
+  private void completeRequest(Envelope envelope) {
     CompletableFuture<PeerMessage> future = openRequests.remove(envelope.getRequestNumber());
     if (future == null) {
       return;
@@ -161,7 +162,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     closed = true;
-    transport.closed(this);
+    transport.onClosed(this);
     failOpenRequests();
   }
 
--- a/placement/src/main/java/org/agatefield/placement/GainPlacement.java
+++ b/placement/src/main/java/org/agatefield/placement/GainPlacement.java
@@ -23,6 +23,7 @@
   private final Map<String, Double> smoothedRequests = new HashMap<>();
   private long smoothedAtNanoseconds = Long.MIN_VALUE;
 
+  /** Creates a policy without demand history. */
   public GainPlacement(GainSettings settings) {
     this.settings = settings;
   }
--- a/placement/src/main/java/org/agatefield/placement/PlacementPlanner.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementPlanner.java
@@ -11,6 +11,7 @@
   private final PlacementPolicy policy;
   private final DrainPolicy drainPolicy;
 
+  /** Creates a planner that applies the drain policy before the placement policy. */
   public PlacementPlanner(PlacementPolicy policy, DrainPolicy drainPolicy) {
     this.policy = policy;
     this.drainPolicy = drainPolicy;
--- a/placement/src/main/java/org/agatefield/placement/ReplicaDraft.java
+++ b/placement/src/main/java/org/agatefield/placement/ReplicaDraft.java
@@ -34,7 +34,7 @@
   private static final double STORE_LOAD_COST = 0.03; // the store's rate is shared and paid for
   private static final int RESERVED_STORE_LOADS = 1; // for models without a replica
   // An evaluation distributes the load over all engines, so fewer fit into a tick on large fleets.
-  private static final int ENGINES_PER_PLAN = 6_000;
+  private static final int ENGINE_EVALUATION_BUDGET = 6_000;
   private static final int MINIMUM_EVALUATIONS = 40;
   private static final double LOAD_TOLERANCE = 1e-9; // loads that differ by less count as equal
   // Below the minimum gain, as the estimate leaves out the load of other models that also moves.
@@ -121,7 +121,8 @@
       }
     }
     candidates.sort(Comparator.comparingDouble(CandidateMove::estimate).reversed());
-    int evaluated = Math.max(MINIMUM_EVALUATIONS, ENGINES_PER_PLAN / Math.max(1, engines.size()));
+    int evaluated =
+        Math.max(MINIMUM_EVALUATIONS, ENGINE_EVALUATION_BUDGET / Math.max(1, engines.size()));
     return candidates.size() > evaluated ? candidates.subList(0, evaluated) : candidates;
   }
 
--- a/placement/src/main/java/org/agatefield/placement/RunnerLedger.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerLedger.java
@@ -36,6 +36,7 @@
     return new RunnerLedger(upstream, memoryMegabytes, 0, 0, "", List.of());
   }
 
+  /** Returns the memory reserved by all entries. */
   public long reservedMegabytes() {
     return entries.stream().mapToLong(LedgerEntry::reservedMegabytes).sum();
   }
--- a/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
@@ -61,13 +61,13 @@
     Snapshot snapshot =
         new Snapshot(ledger, observation, checksFencingTokens, ages, nowNanoseconds);
     return afterRestart(snapshot)
-        .or(() -> adoption(snapshot))
+        .or(() -> adoptUnknownVersion(snapshot))
         .or(() -> firstOf(snapshot, RunnerReconciler::recordLoaded))
         .or(() -> firstOf(snapshot, this::finishUnloading))
         .or(() -> firstOf(snapshot, RunnerReconciler::handleLost))
         .or(() -> firstOf(snapshot, this::unload))
         .or(() -> firstOf(snapshot, RunnerReconciler::load))
-        .or(() -> firstOf(snapshot, this::forget));
+        .or(() -> firstOf(snapshot, this::removeRetired));
   }
 
   /** Decides the step for one ledger entry. */
@@ -98,7 +98,7 @@
     return Optional.of(ReconciliationStep.write(restarted, "engine restarted"));
   }
 
-  private static Optional<ReconciliationStep> adoption(Snapshot snapshot) {
+  private static Optional<ReconciliationStep> adoptUnknownVersion(Snapshot snapshot) {
     for (String name :
         snapshot.report().versions().stream().filter(RunnerReconciler::isVersionName).toList()) {
       VersionId version = VersionId.parse(name);
@@ -185,8 +185,8 @@
       return Optional.of(
           ReconciliationStep.write(unloading, entry.version() + " was lost while draining"));
     }
-    RunnerLedger again = LedgerTransitions.renewLoadOrder(snapshot.ledger(), entry.version());
-    return Optional.of(ReconciliationStep.write(again, entry.version() + " was lost"));
+    RunnerLedger reloading = LedgerTransitions.renewLoadOrder(snapshot.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.write(reloading, entry.version() + " was lost"));
   }
 
   private Optional<ReconciliationStep> unload(Snapshot snapshot, LedgerEntry entry) {
@@ -235,7 +235,7 @@
     return new PlannedOrder(action, version, entry.memoryMegabytes(), entry.orderToken());
   }
 
-  private Optional<ReconciliationStep> forget(Snapshot snapshot, LedgerEntry entry) {
+  private Optional<ReconciliationStep> removeRetired(Snapshot snapshot, LedgerEntry entry) {
     long age =
         snapshot
             .ages()
@@ -243,8 +243,8 @@
     if (entry.state() != LedgerState.RETIRED || age < quarantineNanoseconds) {
       return Optional.empty();
     }
-    RunnerLedger forgotten = LedgerTransitions.forget(snapshot.ledger(), entry.version());
+    RunnerLedger removed = LedgerTransitions.forget(snapshot.ledger(), entry.version());
     return Optional.of(
-        ReconciliationStep.write(forgotten, entry.version() + " is removed from the ledger"));
+        ReconciliationStep.write(removed, entry.version() + " is removed from the ledger"));
   }
 }
