--- a/peer/src/main/java/org/agatefield/peer/PeerMessage.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerMessage.java
@@ -217,13 +217,13 @@
    * Forwards the availability that a runner reported in a response. Immutable.
    *
    * @param runner the runner's identifier
-   * @param bornMilliseconds the wall-clock time of its start
+   * @param startTimeMilliseconds the wall-clock time of its start
    * @param leavingAgeMilliseconds how long ago it reported that it is leaving; empty if it did not
    * @param quietMilliseconds how much longer it accepts no requests; 0 if it accepts them
    */
   record RunnerNotice(
       String runner,
-      long bornMilliseconds,
+      long startTimeMilliseconds,
       OptionalLong leavingAgeMilliseconds,
       long quietMilliseconds)
       implements PeerMessage {}
