--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import org.agatefield.daemon.core.Dispatcher;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -1,6 +1,7 @@
 package org.agatefield.daemon.dispatch;
 
 import java.util.Set;
+import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.admission.ConcurrencyLimit;
 import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.model.LoadReport;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -30,6 +30,7 @@
 import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
+import org.agatefield.forwarding.StartInTimePolicy;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.Closer;
 import org.agatefield.model.ErrorKind;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -124,7 +124,7 @@
       unansweredSince = Long.MAX_VALUE;
       loads.replaceNeighbours(report.instance(), shares, nowMilliseconds);
     } else {
-      loads.heard(report.instance(), shares, nowMilliseconds);
+      loads.updateNeighbour(report.instance(), shares, nowMilliseconds);
     }
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -134,7 +134,7 @@
         number,
         runner.id(),
         deadline - MonotonicClock.milliseconds());
-    followUp.accept(state.unreached(number));
+    followUp.accept(state.connectFailed(number));
   }
 
   @Override
@@ -143,7 +143,7 @@
     parts.selector().unreachable(runner.id());
     LOGGER.info(
         "request={} attempt={} runner={} unreached=\"{}\"", terms.id(), number, runner.id(), cause);
-    followUp.accept(state.unreached(number));
+    followUp.accept(state.connectFailed(number));
   }
 
   @Override
--- a/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
@@ -232,7 +232,7 @@
     @Override
     public void received(PeerMessage message) {
       if (message instanceof PeerMessage.Membership step) {
-        if (leavingUpstreams.heard(step.leavingUpstreams(), now(), transmissions())) {
+        if (leavingUpstreams.receiveNotices(step.leavingUpstreams(), now(), transmissions())) {
           upstreamsChanged();
         }
         members.received(step);
--- a/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
@@ -32,6 +32,7 @@
 import org.agatefield.daemon.core.NonRepeatableCallExecutor;
 import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.engine.EngineClientOptions;
 import org.agatefield.engine.HttpEngineClient;
 import org.agatefield.model.Adapter;
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
@@ -22,6 +22,7 @@
 import org.agatefield.daemon.core.Dispatch;
 import org.agatefield.daemon.core.DispatchOutcome;
 import org.agatefield.daemon.core.Dispatcher;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.ModelRequest;
