--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.agatefield.engine.OrderResult;
 import org.agatefield.lease.LeaseGrant;
 import org.agatefield.model.LoadReport;
@@ -63,7 +63,8 @@
   private LoadBudget budget = LoadBudget.startingAt(System.nanoTime());
 
   /** Creates a duty; {@link #start()} starts it. */
-  public PlacementController(PlacementContext parts, PlacementTimings terms, PlacementPolicy policy) {
+  public PlacementController(
+      PlacementContext parts, PlacementTimings terms, PlacementPolicy policy) {
     this.parts = parts;
     this.terms = terms;
     this.table = new LedgerTable(parts.store());
