--- a/command/src/main/java/org/agatefield/command/AgatefieldctlMain.java
+++ b/command/src/main/java/org/agatefield/command/AgatefieldctlMain.java
@@ -5,10 +5,10 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 import java.util.concurrent.Callable;
 
-/** The entry point of the operators' command. */
+/** The main class of the operators' command. */
 @Cli(
     name = "agatefieldctl",
-    description = "Configures, inspects and tries out agatefield",
+    description = "Configures, inspects and tests agatefield",
     defaultCommand = HelpCommand.class,
     commands = {
       HelpCommand.class,
@@ -34,7 +34,7 @@
 public final class AgatefieldctlMain {
   private AgatefieldctlMain() {}
 
-  /** Runs the command and ends the process with a documented code. */
+  /** Runs the command and exits with a documented exit code. */
   public static void main(String[] arguments) {
     System.exit(run(arguments).number());
   }
@@ -51,7 +51,7 @@
       System.err.println(exception.getMessage());
       return exception.code();
     } catch (Exception exception) {
-      System.err.println("unexpected fault: " + exception);
+      System.err.println("unexpected error: " + exception);
       return CommandExitCode.FAILURE;
     }
   }
--- a/command/src/main/java/org/agatefield/command/AnswerTail.java
+++ b/command/src/main/java/org/agatefield/command/AnswerTail.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Keeps the last bytes of an answer. For use by one thread. */
+/** Buffers the last bytes of an answer. For use by one thread. */
 final class AnswerTail {
   private final int maximumBytes;
   private Buffer bytes = Buffer.buffer();
--- a/command/src/main/java/org/agatefield/command/CommandException.java
+++ b/command/src/main/java/org/agatefield/command/CommandException.java
@@ -1,6 +1,6 @@
 package org.agatefield.command;
 
-/** A failure that ends the command with a message for its user. Immutable. */
+/** Thrown to end the command with a message for its user and an exit code. Immutable. */
 final class CommandException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/command/src/main/java/org/agatefield/command/CommandExitCode.java
+++ b/command/src/main/java/org/agatefield/command/CommandExitCode.java
@@ -2,15 +2,15 @@
 
 /** The documented exit codes of the operators' command. */
 public enum CommandExitCode {
-  /** Done. */
+  /** The command succeeded. */
   SUCCESS(0),
-  /** The daemon answered with an error, or an unexpected fault. */
+  /** The daemon answered with an error, or an unexpected error occurred. */
   FAILURE(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(2),
-  /** The configuration breaks a rule. */
+  /** The configuration is invalid. */
   REFUSED(3),
-  /** Another operator changed the configuration meanwhile. */
+  /** Another operator has changed the configuration in the meantime. */
   CONFLICT(4),
   /** No daemon could be reached. */
   UNREACHABLE(5);
@@ -21,12 +21,12 @@
     this.number = number;
   }
 
-  /** Returns the code that the process ends with. */
+  /** Returns the exit code of the process. */
   public int number() {
     return number;
   }
 
-  /** Returns the code for an HTTP answer of a daemon. */
+  /** Returns the exit code for the HTTP status of a daemon's answer. */
   static CommandExitCode ofStatus(int status) {
     if (status < 300) {
       return SUCCESS;
--- a/command/src/main/java/org/agatefield/command/ConfigurationApplyCommand.java
+++ b/command/src/main/java/org/agatefield/command/ConfigurationApplyCommand.java
@@ -8,10 +8,10 @@
 import io.vertx.core.http.HttpMethod;
 import java.util.Map;
 
-/** Applies a document against the generation that it names. */
+/** Applies a document that was written against the generation it contains. */
 @Command(
     name = "apply",
-    description = "Applies a document; its generation names the one that it was written against")
+    description = "Applies a document; its generation must be the one in force")
 public final class ConfigurationApplyCommand extends DaemonCommand {
   @Arguments(title = "FILE", description = "The document, as JSON")
   @Required
@@ -40,7 +40,8 @@
       return new ObjectMapper().readTree(answer.body()).path("generation").asLong();
     } catch (JsonProcessingException exception) {
       throw new CommandException(
-          CommandExitCode.FAILURE, "the daemon answered no document: " + answer.body());
+          CommandExitCode.FAILURE,
+          "the daemon's answer is not a configuration document: " + answer.body());
     }
   }
 }
--- a/command/src/main/java/org/agatefield/command/ConfigurationDiffCommand.java
+++ b/command/src/main/java/org/agatefield/command/ConfigurationDiffCommand.java
@@ -8,8 +8,8 @@
 import org.agatefield.configuration.ConfigurationReader;
 import org.agatefield.model.ConfigurationDocument;
 
-/** Shows what a document would change. */
-@Command(name = "diff", description = "Shows what a document would change at a daemon")
+/** Shows the changes that applying a document would make. */
+@Command(name = "diff", description = "Shows the changes that applying a document would make")
 public final class ConfigurationDiffCommand extends DaemonCommand {
   @Arguments(title = "FILE", description = "The document, as JSON")
   @Required
--- a/command/src/main/java/org/agatefield/command/ConfigurationValidateCommand.java
+++ b/command/src/main/java/org/agatefield/command/ConfigurationValidateCommand.java
@@ -5,8 +5,8 @@
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import java.util.concurrent.Callable;
 
-/** Checks a document without a daemon, by the same code that daemons use. */
-@Command(name = "validate", description = "Checks a document and names every fault")
+/** Validates a document without a daemon, with the same code that daemons use. */
+@Command(name = "validate", description = "Validates a document and prints every fault")
 public final class ConfigurationValidateCommand implements Callable<CommandExitCode> {
   @Arguments(title = "FILE", description = "The document, as JSON")
   @Required
--- a/command/src/main/java/org/agatefield/command/DaemonClient.java
+++ b/command/src/main/java/org/agatefield/command/DaemonClient.java
@@ -20,7 +20,7 @@
 import org.agatefield.model.Address;
 import org.agatefield.model.Closer;
 
-/** Calls one daemon and waits for its answers. For use by one thread. */
+/** Blocking HTTP client for one daemon. For use by one thread. */
 final class DaemonClient implements AutoCloseable {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(150);
@@ -56,7 +56,7 @@
   /**
    * Sends a request.
    *
-   * @param onPart told each part of the body as it comes
+   * @param onPart called with each part of the body as it arrives
    */
   HttpAnswer send(
       HttpMethod method,
@@ -108,7 +108,7 @@
     } catch (ExecutionException exception) {
       throw new CommandException(
           CommandExitCode.UNREACHABLE,
-          "the daemon at " + daemon + " gave no whole answer: " + exception.getCause());
+          "the daemon at " + daemon + " gave no complete answer: " + exception.getCause());
     } catch (TimeoutException exception) {
       throw new CommandException(
           CommandExitCode.UNREACHABLE,
--- a/command/src/main/java/org/agatefield/command/DaemonCommand.java
+++ b/command/src/main/java/org/agatefield/command/DaemonCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import org.agatefield.model.Address;
 
-/** A command that calls a daemon. For use by one thread. */
+/** Base class of commands that call a daemon. For use by one thread. */
 abstract class DaemonCommand implements Callable<CommandExitCode> {
   private static final String TOKEN_VARIABLE = "AGATEFIELD_TOKEN";
 
@@ -23,7 +23,7 @@
   @Option(
       name = {"--token"},
       title = "TOKEN",
-      description = "The bearer token; without it the variable AGATEFIELD_TOKEN is taken")
+      description = "The bearer token; default: the environment variable AGATEFIELD_TOKEN")
   @Once
   protected String token;
 
@@ -36,26 +36,29 @@
     }
   }
 
-  /** Opens a client that proves who its user is, if a token was given. */
+  /** Opens a client that sends the bearer token, if one was given. */
   protected DaemonClient openClient() {
     return new DaemonClient(entryAddress(), authorization());
   }
 
-  /** Returns the header that proves who the user is; no header if no token was given. */
+  /** Returns the header with the bearer token; no header if no token was given. */
   protected Map<String, String> authorization() {
     Optional<String> given =
         Optional.ofNullable(token).or(() -> Optional.ofNullable(System.getenv(TOKEN_VARIABLE)));
     return given.map(value -> Map.of("Authorization", "Bearer " + value)).orElse(Map.of());
   }
 
-  /** Prints an answer: its body to the output if it succeeded, else to the error output. */
+  /**
+   * Prints an answer: its body to the standard output if the request succeeded, otherwise to the
+   * standard error.
+   */
   protected CommandExitCode print(HttpAnswer answer) {
     if (answer.status() < 300) {
       System.out.println(answer.body());
       return CommandExitCode.SUCCESS;
     }
     System.err.println("HTTP " + answer.status() + ": " + answer.body());
-    answer.retryAfter().ifPresent(delay -> System.err.println("come back after " + delay + " s"));
+    answer.retryAfter().ifPresent(delay -> System.err.println("retry after " + delay + " s"));
     return CommandExitCode.ofStatus(answer.status());
   }
 }
--- a/command/src/main/java/org/agatefield/command/DocumentFile.java
+++ b/command/src/main/java/org/agatefield/command/DocumentFile.java
@@ -7,7 +7,7 @@
 import org.agatefield.configuration.ConfigurationReader;
 import org.agatefield.model.ConfigurationDocument;
 
-/** Reads documents that the user names. Stateless. */
+/** Reads configuration documents from files. Stateless. */
 final class DocumentFile {
   private DocumentFile() {}
 
--- a/command/src/main/java/org/agatefield/command/DrainCommand.java
+++ b/command/src/main/java/org/agatefield/command/DrainCommand.java
@@ -4,8 +4,8 @@
 import io.vertx.core.http.HttpMethod;
 import java.util.Map;
 
-/** Asks a daemon to leave: it finishes what it has and ends. */
-@Command(name = "drain", description = "Asks a daemon to finish its requests and end")
+/** Requests a graceful shutdown of a daemon. */
+@Command(name = "drain", description = "Makes a daemon finish its requests and shut down")
 public final class DrainCommand extends DaemonCommand {
   @Override
   public CommandExitCode call() {
--- a/command/src/main/java/org/agatefield/command/ExplainCommand.java
+++ b/command/src/main/java/org/agatefield/command/ExplainCommand.java
@@ -9,7 +9,7 @@
 /** Explains a routing or placement decision. */
 @Command(
     name = "explain",
-    description = "Tells why a request went where it went, or why a version lies where it lies")
+    description = "Explains the routing of a request or the placement of a version")
 public final class ExplainCommand extends DaemonCommand {
   @Option(
       name = {"--request"},
@@ -28,8 +28,7 @@
   @Override
   public CommandExitCode call() {
     if ((request == null) == (version == null)) {
-      throw new CommandException(
-          CommandExitCode.USAGE, "give one of --request and --version, and not both");
+      throw new CommandException(CommandExitCode.USAGE, "give either --request or --version");
     }
     String path =
         request != null
--- a/command/src/main/java/org/agatefield/command/HttpAnswer.java
+++ b/command/src/main/java/org/agatefield/command/HttpAnswer.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A whole HTTP answer. Immutable.
+ * A complete HTTP answer. Immutable.
  *
  * @param status the HTTP status
  * @param body the body as text
- * @param retryAfter the Retry-After header
+ * @param retryAfter the value of the Retry-After header
  */
 record HttpAnswer(int status, String body, Optional<String> retryAfter) {}
--- a/command/src/main/java/org/agatefield/command/LoadCommand.java
+++ b/command/src/main/java/org/agatefield/command/LoadCommand.java
@@ -5,8 +5,10 @@
 import com.github.rvesse.airline.annotations.restrictions.Once;
 import java.time.Duration;
 
-/** Sends requests at a steady rate and reports what came back. */
-@Command(name = "load", description = "Sends requests at a rate and reports times and errors")
+/** Sends requests at a constant rate and reports latencies and errors. */
+@Command(
+    name = "load",
+    description = "Sends requests at a constant rate and reports latencies and errors")
 public final class LoadCommand extends DaemonCommand {
   @Option(
       name = {"--model"},
@@ -18,28 +20,28 @@
   @Option(
       name = {"--rate"},
       title = "N",
-      description = "Requests a second")
+      description = "Requests per second")
   @Once
   private int rate = 50;
 
   @Option(
       name = {"--seconds"},
       title = "N",
-      description = "How long to send")
+      description = "Duration of the measurement in seconds")
   @Once
   private int seconds = 10;
 
   @Option(
       name = {"--warm-up-seconds"},
       title = "N",
-      description = "How long to send before that, without reporting it")
+      description = "Duration of the warm-up before the measurement in seconds")
   @Once
   private int warmUpSeconds;
 
   @Option(
       name = {"--maximum-tokens"},
       title = "N",
-      description = "The most tokens of each answer")
+      description = "Maximum number of tokens of each answer")
   @Once
   private int maximumTokens = 8;
 
--- a/command/src/main/java/org/agatefield/command/LoadGenerator.java
+++ b/command/src/main/java/org/agatefield/command/LoadGenerator.java
@@ -20,10 +20,11 @@
 import org.agatefield.model.Closer;
 
 /**
- * Starts requests at a steady rate, whether or not earlier ones have been answered.
+ * Generates an open-loop load: starts requests at a constant rate, whether or not earlier ones have
+ * been answered.
  *
- * <p>Times count from the planned start of a request, so that a slow server cannot hide its delays.
- * For use by one thread.
+ * <p>Latencies are measured from the planned start of a request, so that delays of a slow server
+ * are not hidden (coordinated omission). For use by one thread.
  */
 public final class LoadGenerator implements AutoCloseable {
   private static final int MAXIMUM_CONNECTIONS = 1_000;
@@ -33,10 +34,10 @@
   private static final int TAIL_BYTES = 32;
 
   /**
-   * When a request was to start. Immutable.
+   * The planned start of a request. Immutable.
    *
-   * @param plannedNanoseconds the monotonic time
-   * @param reported whether its times are reported
+   * @param plannedNanoseconds the planned time on the monotonic clock
+   * @param reported whether the request's latencies are reported
    */
   private record Start(long plannedNanoseconds, boolean reported) {}
 
--- a/command/src/main/java/org/agatefield/command/LoadPlan.java
+++ b/command/src/main/java/org/agatefield/command/LoadPlan.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * What the load generator sends. Immutable.
+ * The load to generate. Immutable.
  *
  * @param model the deployment or adapter
- * @param requestsPerSecond how many requests start each second
- * @param warmUp how long requests are started at first that are not reported
- * @param duration how long requests are started after that
- * @param maximumTokens the most tokens of each answer
+ * @param requestsPerSecond number of requests started per second
+ * @param warmUp duration of the warm-up, whose requests are not reported
+ * @param duration duration of the measurement after the warm-up
+ * @param maximumTokens maximum number of tokens of each answer
  */
 record LoadPlan(
     String model, int requestsPerSecond, Duration warmUp, Duration duration, int maximumTokens) {
--- a/command/src/main/java/org/agatefield/command/LoadReportTable.java
+++ b/command/src/main/java/org/agatefield/command/LoadReportTable.java
@@ -4,13 +4,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What came back of a load. Immutable as long as nobody records into the histograms.
+ * The results of a load run. Immutable provided that the histograms are not modified.
  *
- * @param whole answers with their end marker
- * @param refused answers with status 429 or 503
- * @param failed everything else
- * @param firstPartMicroseconds from the planned start to the first part of the body
- * @param wholeMicroseconds from the planned start to the end of the answer
+ * @param whole number of complete answers, which have their end marker
+ * @param refused number of answers with status 429 or 503
+ * @param failed number of all other answers and of requests without an answer
+ * @param firstPartMicroseconds latencies from the planned start to the first part of the body
+ * @param wholeMicroseconds latencies from the planned start to the end of the answer
  */
 record LoadReportTable(
     long whole,
--- a/command/src/main/java/org/agatefield/command/SendCommand.java
+++ b/command/src/main/java/org/agatefield/command/SendCommand.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sends one request as a caller and prints its answer as it comes. */
+/** Sends one request as a caller and prints the answer as it arrives. */
 @Command(name = "send", description = "Sends one request to a model or a service")
 public final class SendCommand extends DaemonCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,7 +31,7 @@
   @Option(
       name = {"--maximum-tokens"},
       title = "N",
-      description = "The most tokens to generate")
+      description = "Maximum number of tokens to generate")
   @Once
   private int maximumTokens = 16;
 
@@ -57,7 +57,7 @@
   @Option(
       name = {"--path"},
       title = "PATH",
-      description = "The path below the service")
+      description = "The path relative to the service")
   @Once
   private String path = "/";
 
@@ -78,8 +78,7 @@
   @Override
   public CommandExitCode call() {
     if ((model == null) == (service == null)) {
-      throw new CommandException(
-          CommandExitCode.USAGE, "give one of --model and --service, and not both");
+      throw new CommandException(CommandExitCode.USAGE, "give either --model or --service");
     }
     return model != null ? sendToModel() : sendToService();
   }
--- a/command/src/main/java/org/agatefield/command/StatusCommand.java
+++ b/command/src/main/java/org/agatefield/command/StatusCommand.java
@@ -2,7 +2,7 @@
 
 import com.github.rvesse.airline.annotations.Command;
 
-/** Shows what a daemon knows of instances, upstreams, replicas and the configuration. */
+/** Shows the instances, upstreams, replicas and configuration generation known to a daemon. */
 @Command(name = "status", description = "Shows instances, upstreams, replicas and the generation")
 public final class StatusCommand extends DaemonCommand {
   @Override
--- a/command/src/main/java/org/agatefield/command/StreamPrinter.java
+++ b/command/src/main/java/org/agatefield/command/StreamPrinter.java
@@ -7,7 +7,7 @@
 import io.vertx.core.parsetools.RecordParser;
 import java.io.PrintStream;
 
-/** Prints the text of a stream of chat completion chunks as it comes. For use by one thread. */
+/** Prints the text of a stream of chat completion chunks as it arrives. For use by one thread. */
 final class StreamPrinter {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String DATA = "data:";
@@ -25,11 +25,14 @@
     lines.handle(part);
   }
 
-  /** Ends the line and returns whether the end marker came, so that the answer is whole. */
+  /**
+   * Ends the line and returns whether the end marker was received, which means that the answer is
+   * complete.
+   */
   boolean ended() {
     output.println();
     if (!endMarkerSeen) {
-      System.err.println("the answer ended without its end marker: it is not whole");
+      System.err.println("the answer is incomplete: it ended without its end marker");
     }
     return endMarkerSeen;
   }
--- a/configuration/src/main/java/org/agatefield/configuration/ChangeRules.java
+++ b/configuration/src/main/java/org/agatefield/configuration/ChangeRules.java
@@ -6,11 +6,11 @@
 import org.agatefield.model.Deployment;
 import org.agatefield.model.DeploymentVersion;
 
-/** The rules that a document must keep towards the one that it replaces. Has no state. */
+/** Checks that a document may replace an earlier one. Stateless. */
 public final class ChangeRules {
   private ChangeRules() {}
 
-  /** Returns every way in which {@code after} must not follow {@code before}. */
+  /** Returns every fault that forbids replacing {@code before} by {@code after}. */
   public static List<ConfigurationFault> check(
       ConfigurationDocument before, ConfigurationDocument after) {
     List<ConfigurationFault> faults = new ArrayList<>();
--- a/configuration/src/main/java/org/agatefield/configuration/ConfigurationChange.java
+++ b/configuration/src/main/java/org/agatefield/configuration/ConfigurationChange.java
@@ -1,21 +1,21 @@
 package org.agatefield.configuration;
 
 /**
- * One difference between two documents. Immutable.
+ * A difference between two documents. Immutable.
  *
- * @param kind whether the part was added, removed or replaced
- * @param path the part by name, such as {@code deployments/quotes} or {@code weightStore}
- * @param before the part's JSON before; empty if it was added
- * @param after the part's JSON after; empty if it was removed
+ * @param kind whether the element was added, removed or replaced
+ * @param path the element's path by name, such as {@code deployments/quotes} or {@code weightStore}
+ * @param before the element's earlier JSON; empty if it was added
+ * @param after the element's later JSON; empty if it was removed
  */
 public record ConfigurationChange(Kind kind, String path, String before, String after) {
-  /** What happened to a part. */
+  /** The kind of a change. */
   public enum Kind {
-    /** The part is new. */
+    /** The element is new. */
     ADDED,
-    /** The part is gone. */
+    /** The element was removed. */
     REMOVED,
-    /** The part differs. */
+    /** The element has changed. */
     REPLACED
   }
 
--- a/configuration/src/main/java/org/agatefield/configuration/ConfigurationDifference.java
+++ b/configuration/src/main/java/org/agatefield/configuration/ConfigurationDifference.java
@@ -18,7 +18,7 @@
 import org.agatefield.model.Upstream;
 
 /**
- * What changes from one document to another, apart from the generation. Immutable.
+ * The differences between two documents, except for the generation. Immutable.
  *
  * @param fromGeneration the generation of the earlier document
  * @param toGeneration the generation of the later document
@@ -31,7 +31,7 @@
     changes = List.copyOf(changes);
   }
 
-  /** Returns what turns {@code from} into {@code to}. */
+  /** Returns the changes that turn {@code from} into {@code to}. */
   public static ConfigurationDifference between(
       ConfigurationDocument from, ConfigurationDocument to) {
     List<ConfigurationChange> changes = new ArrayList<>();
@@ -44,12 +44,12 @@
     return new ConfigurationDifference(from.generation(), to.generation(), changes);
   }
 
-  /** Returns whether nothing but the generation differs. */
+  /** Returns whether the documents differ in the generation at most. */
   public boolean isEmpty() {
     return changes.isEmpty();
   }
 
-  /** Returns one line for each change, for operators. */
+  /** Returns the changes as text for operators, one line for each. */
   public String toText() {
     if (changes.isEmpty()) {
       return "no difference";
--- a/configuration/src/main/java/org/agatefield/configuration/ConfigurationFault.java
+++ b/configuration/src/main/java/org/agatefield/configuration/ConfigurationFault.java
@@ -1,11 +1,11 @@
 package org.agatefield.configuration;
 
 /**
- * One way in which a configuration document breaks a rule. Immutable.
+ * A violation of a rule by a configuration document. Immutable.
  *
- * @param path the field, such as {@code $.deployments[0].name}
- * @param found what stands there, shortened
- * @param rule what is allowed
+ * @param path the path of the field, such as {@code $.deployments[0].name}
+ * @param found the value found, shortened
+ * @param rule the rule that is violated
  */
 public record ConfigurationFault(String path, String found, String rule) {
   @Override
--- a/configuration/src/main/java/org/agatefield/configuration/ConfigurationReader.java
+++ b/configuration/src/main/java/org/agatefield/configuration/ConfigurationReader.java
@@ -8,11 +8,11 @@
 import org.agatefield.model.ConfigurationDocument;
 
 /**
- * Reads documents from JSON and names every fault at once.
+ * Reads and validates documents in JSON, and reports all faults at once.
  *
- * <p>A document is read in three steps: the JSON schema, the rules between fields, and the proof
- * that what is deployed fits into the memory there is. Each step runs only if the earlier ones
- * found no fault. Has no state; safe for use by any thread.
+ * <p>Validation has three steps: the JSON schema, the rules between fields, and the check that the
+ * deployed versions fit into the available memory. Each step runs only if the earlier ones found no
+ * fault. Stateless; safe for use by any thread.
  */
 public final class ConfigurationReader {
   private ConfigurationReader() {}
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Returns the document in a JSON tree that an earlier {@link #read} accepted: the rules between
-   * fields and the memory are not checked again.
+   * Returns the document in a JSON tree that an earlier {@link #read} accepted, without checking
+   * the rules between fields and the memory again.
    *
-   * @throws ConfigurationFaultsException if the tree breaks the schema
+   * @throws ConfigurationFaultsException if the tree violates the schema
    */
   public static ConfigurationDocument parse(JsonNode root) throws ConfigurationFaultsException {
     if (root == null || !root.isObject()) {
@@ -63,13 +63,13 @@
       return DocumentMapper.MAPPER.treeToValue(filled, ConfigurationDocument.class);
     } catch (JsonProcessingException | IllegalArgumentException exception) {
       throw new ConfigurationFaultsException(
-          List.of(new ConfigurationFault("$", "a value out of range", exception.getMessage())));
+          List.of(new ConfigurationFault("$", "an invalid value", exception.getMessage())));
     }
   }
 
   private static ConfigurationFaultsException notJson(String reason) {
     return new ConfigurationFaultsException(
-        List.of(new ConfigurationFault("$", reason, "the document is one JSON object")));
+        List.of(new ConfigurationFault("$", reason, "the document must be one JSON object")));
   }
 
   private static void throwIfAny(List<ConfigurationFault> faults)
--- a/configuration/src/main/java/org/agatefield/configuration/ConfigurationWriter.java
+++ b/configuration/src/main/java/org/agatefield/configuration/ConfigurationWriter.java
@@ -5,10 +5,11 @@
 import org.agatefield.model.ConfigurationDocument;
 
 /**
- * Writes documents as canonical JSON: every field that has a value, in the order of the records.
+ * Writes documents as canonical JSON: all fields that have a value, in the order of the record
+ * components.
  *
- * <p>Invariant: equal documents give equal text, and {@link ConfigurationReader} reads the same
- * document back. Safe for use by any thread.
+ * <p>Invariant: equal documents yield equal text, from which {@link ConfigurationReader} reads an
+ * equal document. Safe for use by any thread.
  */
 public final class ConfigurationWriter {
   private ConfigurationWriter() {}
@@ -23,7 +24,8 @@
     try {
       return DocumentMapper.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(document);
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException("a configuration document has no JSON form", exception);
+      throw new IllegalStateException(
+          "the configuration document cannot be written as JSON", exception);
     }
   }
 }
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentDefaults.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentDefaults.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Fills in the values of fields that a valid document leaves out. Has no state. */
+/** Adds the default values of fields that a valid document omits. Stateless. */
 final class DocumentDefaults {
   private static final int DEFAULT_SERVICE_TIMEOUT_MILLISECONDS = 30_000;
 
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentMapper.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentMapper.java
@@ -18,7 +18,7 @@
 import org.agatefield.model.Priority;
 import org.agatefield.model.UpstreamKind;
 
-/** Maps between documents and JSON; shared and safe for use by any thread. */
+/** Provides the JSON mapper for documents. Safe for use by any thread. */
 final class DocumentMapper {
   static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -43,7 +43,7 @@
     return module;
   }
 
-  /** Writes a value as its text in lower case. */
+  /** Writes a value as its {@code toString()} text in lower case. */
   private static final class TextSerializer<T> extends StdSerializer<T> {
     private static final long serialVersionUID = 1L;
 
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentRules.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentRules.java
@@ -14,9 +14,9 @@
 import org.agatefield.model.UpstreamKind;
 
 /**
- * The rules between the fields of a document that its schema can't state.
+ * Checks the rules between the fields of a document that a JSON schema cannot express.
  *
- * <p>Used by one thread for one document.
+ * <p>Each instance checks one document, on one thread.
  */
 final class DocumentRules {
   private final ConfigurationDocument document;
@@ -58,7 +58,10 @@
       }
       int weights = deployment.versions().stream().mapToInt(DeploymentVersion::weight).sum();
       if (weights == 0) {
-        fault(path + ".versions", "no weight above 0", "at least one version has a weight above 0");
+        fault(
+            path + ".versions",
+            "no weight above 0",
+            "at least one version must have a weight above 0");
       }
     }
   }
@@ -82,7 +85,10 @@
       String path = path("callers", i);
       unique(names, document.callers().get(i).name(), path);
       if (!tokens.add(document.callers().get(i).tokenSha256())) {
-        fault(path + ".tokenSha256", "the hash of another caller", "callers differ in tokens");
+        fault(
+            path + ".tokenSha256",
+            "the hash of another caller",
+            "the tokens of callers must be unique");
       }
     }
   }
@@ -115,7 +121,7 @@
       fault(
           path + ".address",
           quote(upstream.address().toString()),
-          "must be an IP number and a port, such as 10.0.0.1:8000 or [fd00::1]:8000");
+          "must be an IP address and a port, such as 10.0.0.1:8000 or [fd00::1]:8000");
     }
   }
 
@@ -128,29 +134,32 @@
       fault(
           path + ".service",
           upstream.service().map(DocumentRules::quote).orElse("nothing"),
-          "a service runner names a service of this document");
+          "a service runner must name a service of this document");
     }
     if (upstream.accelerators() > 0 || upstream.memoryMegabytes() > 0) {
-      fault(path, "accelerators or memory", "a service runner has neither");
+      fault(path, "accelerators or memory", "a service runner must have neither");
     }
   }
 
   private void checkModelRunner(Upstream upstream, String path) {
     if (upstream.service().isPresent()) {
-      fault(path + ".service", quote(upstream.service().get()), "a model runner runs no service");
+      fault(
+          path + ".service",
+          quote(upstream.service().get()),
+          "a model runner must not name a service");
     }
     if (upstream.accelerators() < 1) {
-      fault(path + ".accelerators", "0", "a model runner has at least 1");
+      fault(path + ".accelerators", "0", "a model runner must have at least 1");
     }
     if (upstream.memoryMegabytes() < 1) {
-      fault(path + ".memoryMegabytes", "0", "a model runner has at least 1");
+      fault(path + ".memoryMegabytes", "0", "a model runner must have at least 1");
     }
   }
 
   private void unique(Map<String, String> firstPaths, String name, String path) {
     String earlier = firstPaths.putIfAbsent(name, path);
     if (earlier != null) {
-      fault(path + ".name", quote(name), "names are unique; also at " + earlier);
+      fault(path + ".name", quote(name), "names must be unique; also at " + earlier);
     }
   }
 
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentSchema.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentSchema.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Checks a JSON tree against the document's JSON schema; safe for use by any thread. */
+/** Validates a JSON tree against the JSON schema of documents. Safe for use by any thread. */
 final class DocumentSchema {
   private static final String RESOURCE = "configuration-schema.json";
   private static final int MAXIMUM_FOUND_CHARACTERS = 80;
--- a/configuration/src/main/java/org/agatefield/configuration/IpLiterals.java
+++ b/configuration/src/main/java/org/agatefield/configuration/IpLiterals.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Tells IP numbers from names without asking a name service. Has no state. */
+/** Distinguishes IP address literals from host names without a DNS lookup. Stateless. */
 final class IpLiterals {
   private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])";
   private static final Pattern VERSION_4 = Pattern.compile("(" + OCTET + "\\.){3}" + OCTET);
--- a/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
+++ b/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
@@ -17,25 +17,26 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Whether every version with a weight above 0 fits on its minimum number of different runners, with
- * the memory of all adapters of its deployment beside each replica.
+ * Checks whether every version with a weight above 0 fits on its minimum number of different
+ * runners, including the memory of all adapters of its deployment for each replica.
  *
- * <p>The proof that it fits is a packing. A document for which neither of the ways of packing that
- * are tried finds one is refused, even if a packing may exist. Immutable.
+ * <p>A document is feasible if one of two packing heuristics, which fill the runners with the least
+ * or with the most free memory first, places every replica. A document for which both fail is
+ * refused, even though another packing may exist. Immutable.
  *
- * @param packing for each runner the versions that lie on it; incomplete if there are faults
- * @param faults what does not fit, with the arithmetic; empty if everything fits
+ * @param packing the versions placed on each runner; incomplete if there are faults
+ * @param faults the versions that do not fit, with the calculation; empty if everything fits
  */
 public record MemoryFeasibility(
     Map<String, List<VersionId>> packing, List<ConfigurationFault> faults) {
 
-  /** A version that must be resident, and how much memory each replica of it takes. */
+  /** A version that must be resident, with the number of its replicas and the memory of each. */
   private record Requirement(VersionId version, String path, long megabytes, int replicas) {}
 
-  /** The outcome of one way of packing. */
+  /** The result of one packing heuristic. */
   private record Attempt(Map<String, List<VersionId>> packing, List<Requirement> unplaced) {}
 
-  /** Returns the feasibility of a document that keeps the rules between fields. */
+  /** Returns the feasibility of a document that satisfies the rules between fields. */
   public static MemoryFeasibility of(ConfigurationDocument document) {
     List<Requirement> requirements = requirements(document);
     List<Upstream> runners =
@@ -53,7 +54,10 @@
     return new MemoryFeasibility(bestFit.packing(), faults(requirements, runners, bestFit));
   }
 
-  /** Returns the memory that one replica of a version takes, with all adapters beside it. */
+  /**
+   * Returns the memory that one replica of a version needs, including all adapters of its
+   * deployment.
+   */
   public static long replicaMegabytes(
       ConfigurationDocument document, Deployment deployment, DeploymentVersion version) {
     return version.memoryMegabytes() + adapterMegabytes(document, deployment);
--- a/configuration/src/main/java/org/agatefield/configuration/package-info.java
+++ b/configuration/src/main/java/org/agatefield/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Reads, checks and compares configuration documents; without input or output. */
+/** Reads, validates and compares configuration documents, without file or network access. */
 package org.agatefield.configuration;
--- a/daemon/src/main/java/org/agatefield/daemon/AgatefieldMain.java
+++ b/daemon/src/main/java/org/agatefield/daemon/AgatefieldMain.java
@@ -16,7 +16,7 @@
 import org.agatefield.settings.SettingsReader;
 import org.apache.logging.log4j.LogManager;
 
-/** The daemon's entry point. */
+/** The main class of the daemon. */
 @Command(name = "agatefield", description = "Serves many language models from few accelerators")
 public final class AgatefieldMain {
   @Option(
@@ -29,7 +29,7 @@
   @Option(
       name = {"--check-settings"},
       title = "FILE",
-      description = "Checks the settings, names every fault and ends")
+      description = "Validates the settings, prints every fault and exits")
   @Once
   private String checkedFile;
 
@@ -38,13 +38,13 @@
       description = "Shows this help")
   private boolean help;
 
-  /** Parses the command line and runs the daemon until it is asked to end. */
+  /** Parses the command line and runs the daemon until the process is terminated. */
   public static void main(String[] arguments) {
     run(arguments, StepHook.NONE);
   }
 
   /**
-   * Runs the daemon with a hook that is told of its steps.
+   * Runs the daemon with a hook that is called at its steps.
    *
    * @param hook {@link StepHook#NONE} outside tests
    */
@@ -81,7 +81,7 @@
     try {
       Help.help(parser.getCommandMetadata(), output);
     } catch (IOException exception) {
-      System.err.println("the help cannot be shown: " + exception.getMessage());
+      System.err.println("cannot print the help: " + exception.getMessage());
       return ExitCode.FAILURE;
     }
     return code;
@@ -97,7 +97,7 @@
       System.err.println(exception.getMessage());
       return ExitCode.SETTINGS;
     }
-    System.out.println(file + ": all settings are allowed");
+    System.out.println(file + ": the settings are valid");
     return ExitCode.SUCCESS;
   }
 
@@ -124,7 +124,7 @@
     return ExitCode.SUCCESS;
   }
 
-  /** Halts with a documented code, since a signal would otherwise decide the code. */
+  /** Halts with a documented exit code; otherwise the signal would determine the exit code. */
   private static void shutDown(Daemon daemon) {
     ExitCode code = daemon.shutDownGracefully() ? ExitCode.SUCCESS : ExitCode.DRAIN_TIMEOUT;
     LogManager.shutdown();
--- a/daemon/src/main/java/org/agatefield/daemon/CountingInvariantMonitor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/CountingInvariantMonitor.java
@@ -11,7 +11,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Logs each violation with its evidence and counts it in {@code agatefield.violations.<promise>}.
+ * Logs each invariant violation with its evidence and counts it in {@code
+ * agatefield.violations.<promise>}.
  *
  * <p>Safe for use by any thread.
  */
--- a/daemon/src/main/java/org/agatefield/daemon/Daemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/Daemon.java
@@ -55,10 +55,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Wires the parts of a daemon together and holds them until it ends.
+ * Creates and connects the components of a daemon and owns them until it shuts down.
  *
- * <p>{@link #start()} is called once, before {@link #shutDownGracefully()}; both may come from
- * different threads.
+ * <p>{@link #start()} must be called once, before {@link #shutDownGracefully()}; they may be called
+ * by different threads.
  */
 final class Daemon {
   private static final Logger LOGGER = LogManager.getLogger(Daemon.class);
@@ -122,7 +122,7 @@
     configuration.start();
     ledgers.start();
     listen(routes());
-    peers.join(); // others name this instance to callers as soon as they know it
+    peers.join(); // last: other instances direct callers to this one as soon as it joins
   }
 
   private void startPeers(String instanceId, UniformRandomProvider random) {
@@ -271,7 +271,7 @@
     LOGGER.info("listening callers={} peers={}", address, settings.listeners().peers());
   }
 
-  /** Ends the process gracefully from a thread of its own, since the shutdown waits. */
+  /** Ends the process gracefully from a separate thread, since the shutdown blocks. */
   private CompletableFuture<Void> drainOnRequest() {
     Thread thread = new Thread(() -> System.exit(0), "drain");
     thread.setDaemon(true);
@@ -279,10 +279,13 @@
     return CompletableFuture.completedFuture(null);
   }
 
-  /** Finishes what runs, then closes everything; returns whether no request was cut. */
+  /**
+   * Waits for running requests, then closes all components; returns whether no request was
+   * interrupted.
+   */
   boolean shutDownGracefully() {
     boolean complete = shutdown.beginShutdown(peers::leave).join();
-    LOGGER.info("leaving complete={} violations={}", complete, monitor.violations());
+    LOGGER.info("closing complete={} violations={}", complete, monitor.violations());
     closer.close();
     return complete;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/ExitCode.java
+++ b/daemon/src/main/java/org/agatefield/daemon/ExitCode.java
@@ -2,17 +2,17 @@
 
 /** The documented exit codes of the daemon. */
 public enum ExitCode {
-  /** Ended as asked: settings checked, help shown, or a graceful shutdown that cut no request. */
+  /** Success: valid settings, help shown, or a graceful shutdown that interrupted no request. */
   SUCCESS(0),
-  /** An unexpected fault. */
+  /** An unexpected error. */
   FAILURE(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(2),
-  /** The settings break a rule or cannot be read. */
+  /** The settings are invalid or cannot be read. */
   SETTINGS(3),
   /** A listener could not be opened. */
   LISTEN(4),
-  /** A graceful shutdown ran into its time limit and cut requests. */
+  /** A graceful shutdown reached its time limit and interrupted requests. */
   DRAIN_TIMEOUT(5);
 
   private final int number;
@@ -21,7 +21,7 @@
     this.number = number;
   }
 
-  /** Returns the code that the process ends with. */
+  /** Returns the exit code of the process. */
   public int number() {
     return number;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/ListenException.java
+++ b/daemon/src/main/java/org/agatefield/daemon/ListenException.java
@@ -2,7 +2,7 @@
 
 import org.agatefield.model.Address;
 
-/** A listener could not be opened. Immutable. */
+/** Thrown when a listener cannot be opened. Immutable. */
 final class ListenException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/org/agatefield/daemon/LoggingSetup.java
+++ b/daemon/src/main/java/org/agatefield/daemon/LoggingSetup.java
@@ -9,7 +9,10 @@
 import org.apache.logging.log4j.core.LoggerContext;
 import org.apache.logging.log4j.core.config.Configurator;
 
-/** Sets the log's format and level from the settings. Call it once, before the daemon starts. */
+/**
+ * Configures the format and level of the log from the settings. Must be called once, before the
+ * daemon starts.
+ */
 final class LoggingSetup {
   private static final String PACKAGE = "org.agatefield";
 
@@ -26,7 +29,7 @@
     try {
       return LoggingSetup.class.getResource(resource).toURI();
     } catch (URISyntaxException exception) {
-      throw new IllegalStateException("the log configuration cannot be located", exception);
+      throw new IllegalStateException("the URI of the log configuration is invalid", exception);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/MetricsHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/MetricsHandler.java
@@ -6,7 +6,7 @@
 import io.vertx.ext.web.RoutingContext;
 import java.io.IOException;
 
-/** Serves the metrics. Safe for use by any thread. */
+/** Serves the metrics over HTTP. Safe for use by any thread. */
 final class MetricsHandler implements Handler<RoutingContext> {
   private final MetricsText metrics;
 
--- a/daemon/src/main/java/org/agatefield/daemon/MetricsText.java
+++ b/daemon/src/main/java/org/agatefield/daemon/MetricsText.java
@@ -7,7 +7,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Writes a registry in the text format that Prometheus reads. Safe for use by any thread. */
+/** Formats a metric registry in the Prometheus text format. Safe for use by any thread. */
 public final class MetricsText {
   /** The media type of the text. */
   public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
@@ -16,13 +16,13 @@
   private final PrometheusTextFormatWriter writer =
       PrometheusTextFormatWriter.builder().setIncludeCreatedTimestamps(false).build();
 
-  /** Creates a writer of what the registry holds at each call. */
+  /** Creates a formatter for the registry. */
   public MetricsText(MetricRegistry metrics) {
     this.exports = new DropwizardExports(metrics);
   }
 
   /**
-   * Returns the metrics as they are now.
+   * Returns the current values of the metrics.
    *
    * @throws IOException if a metric could not be written
    */
--- a/daemon/src/main/java/org/agatefield/daemon/RequestExplanationRoute.java
+++ b/daemon/src/main/java/org/agatefield/daemon/RequestExplanationRoute.java
@@ -11,7 +11,7 @@
 import org.agatefield.daemon.dispatch.RoutingDispatcher;
 import org.agatefield.daemon.dispatch.RoutingExplanation;
 
-/** Tells why a request went where it went. Safe for use by any thread. */
+/** Serves explanations of routing decisions. Safe for use by any thread. */
 final class RequestExplanationRoute implements Handler<RoutingContext> {
   private static final ObjectMapper MAPPER =
       new ObjectMapper()
@@ -31,12 +31,16 @@
   public void handle(RoutingContext context) {
     Optional<String> id = context.queryParam("id").stream().findFirst();
     if (id.isEmpty()) {
-      answer(context, BAD_REQUEST, "{\"error\":\"id: missing; the X-Request-Id of an answer\"}");
+      answer(
+          context,
+          BAD_REQUEST,
+          "{\"error\":\"id: missing; must be the X-Request-Id of an answer\"}");
       return;
     }
     Optional<RoutingExplanation> explanation = dispatcher.explain(id.get());
     if (explanation.isEmpty()) {
-      answer(context, NOT_FOUND, "{\"error\":\"id: no decision about it is kept here\"}");
+      answer(
+          context, NOT_FOUND, "{\"error\":\"id: this instance has no routing decision for it\"}");
       return;
     }
     try {
--- a/daemon/src/main/java/org/agatefield/daemon/TlsSetup.java
+++ b/daemon/src/main/java/org/agatefield/daemon/TlsSetup.java
@@ -9,11 +9,11 @@
 import org.agatefield.peer.PeerTls;
 import org.agatefield.settings.DaemonSettings.Tls;
 
-/** Builds the TLS parts of the listeners from the settings. Stateless. */
+/** Configures TLS for the listeners from the settings. Stateless. */
 final class TlsSetup {
   private TlsSetup() {}
 
-  /** Makes the callers' listener speak TLS. */
+  /** Enables TLS for the callers' listener. */
   static void apply(Tls tls, HttpServerOptions options) {
     options
         .setSsl(true)
@@ -24,9 +24,9 @@
   }
 
   /**
-   * Returns the contexts for connections between instances; both sides prove who they are.
+   * Returns the TLS contexts for connections between instances, with mutual authentication.
    *
-   * @throws IllegalStateException if a file of the settings cannot be used
+   * @throws IllegalStateException if a certificate or key file cannot be used
    */
   static PeerTls forPeers(Tls tls) {
     try {
@@ -42,7 +42,8 @@
               .build();
       return new PeerTls(server, client);
     } catch (SSLException | IllegalArgumentException exception) {
-      throw new IllegalStateException("tls: the certificate files cannot be used", exception);
+      throw new IllegalStateException(
+          "tls: the certificate or key files cannot be used", exception);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/AdapterOrder.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/AdapterOrder.java
@@ -10,11 +10,11 @@
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
-/** Orders an adapter that an engine says it does not hold. Stateless. */
+/** Orders an engine to load an adapter that it reported as not loaded. Stateless. */
 final class AdapterOrder {
   private AdapterOrder() {}
 
-  /** Completes once the engine holds the adapter of the attempt. */
+  /** Completes once the engine has loaded the adapter that the dispatch needs. */
   static CompletableFuture<Void> send(CallerApiDependencies dependencies, Dispatch dispatch) {
     String name = dispatch.adapter().orElseThrow();
     Optional<Adapter> adapter = dependencies.configuration().current().adapter(name);
--- a/daemon/src/main/java/org/agatefield/daemon/http/AnswerIdentity.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/AnswerIdentity.java
@@ -4,10 +4,11 @@
 import io.vertx.core.json.Json;
 
 /**
- * The names that stand in every part of an answer, whichever replica wrote it. Immutable.
+ * The identifier and the model name in every part of an answer, whichever replica generated it.
+ * Immutable.
  *
- * @param id the answer's identifier as a JSON string
- * @param model the model that the caller asked for as a JSON string
+ * @param id the answer's identifier, as a JSON string
+ * @param model the model that the caller requested, as a JSON string
  */
 record AnswerIdentity(Buffer id, Buffer model) {
   static AnswerIdentity of(String id, String model) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/AttemptHistory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/AttemptHistory.java
@@ -7,17 +7,17 @@
 import org.agatefield.model.VersionId;
 
 /**
- * What is known about whether any attempt of a request was run.
+ * Tracks whether any attempt of a request was run by an upstream.
  *
- * <p>Invariant: a final failure says "not run" only if every attempt is known not to have run.
- * Confined to the context of its request.
+ * <p>Invariant: a final failure has {@link RunState#NO} only if every attempt is known not to have
+ * run. Not safe for use by several threads.
  */
 final class AttemptHistory {
   private RunState worst = RunState.NO;
   private Optional<VersionId> version = Optional.empty();
   private Optional<AgatefieldException> lastFailure = Optional.empty();
 
-  /** Records that an attempt is sent to a version. */
+  /** Records that an attempt was sent to a replica of a version. */
   void sent(Optional<VersionId> attemptVersion) {
     version = attemptVersion;
   }
@@ -30,7 +30,7 @@
     worst = worse(worst, failure.runState());
   }
 
-  /** Records that an attempt is given up for a reason of ours. */
+  /** Records that this instance aborted an attempt. */
   void interrupted(boolean running, int writtenTokens) {
     if (writtenTokens > 0) {
       worst = RunState.YES;
@@ -39,18 +39,21 @@
     }
   }
 
-  /** Returns whether an answer of which tokens were written may go on with a version. */
+  /**
+   * Returns whether the answer may continue with a version; once tokens are written, it must be the
+   * same one.
+   */
   boolean accepts(Optional<VersionId> nextVersion, int writtenTokens) {
     return writtenTokens == 0 || version.equals(nextVersion);
   }
 
-  /** Returns the failure of a stream that could only go on with another version. */
+  /** Returns the failure for a stream that only another version could continue. */
   AgatefieldException versionUnavailable() {
     return new AgatefieldException(
-        ErrorKind.UPSTREAM_ANSWER_CUT, "no other replica of the answer's version is left");
+        ErrorKind.UPSTREAM_ANSWER_CUT, "no other replica of the answer's version is available");
   }
 
-  /** Returns what the caller is told when {@code failure} ends the request. */
+  /** Returns the failure reported to the caller when {@code failure} ends the request. */
   AgatefieldException finalFailure(AgatefieldException failure) {
     if (worst == RunState.NO) {
       return failure;
@@ -63,7 +66,7 @@
         reported.kind(), worst, reported.getMessage(), failure.retryAfter().orElse(null), failure);
   }
 
-  /** Returns what the caller is told when the deadline ends the request. */
+  /** Returns the failure reported to the caller when the deadline ends the request. */
   AgatefieldException deadlineFailure() {
     if (worst == RunState.NO) {
       return new AgatefieldException(
--- a/daemon/src/main/java/org/agatefield/daemon/http/BodyReader.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/BodyReader.java
@@ -10,10 +10,10 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Reads request bodies within a limit for each and a limit for all that are held at once.
+ * Reads request bodies; limits the size of each and the total size of those buffered in memory.
  *
- * <p>Invariant: the bytes counted as held are those of bodies that were read or are being read and
- * not yet released. Safe for use by any thread.
+ * <p>Invariant: the buffered bytes are those of bodies that are being read, or were read and not
+ * yet released. Safe for use by any thread.
  */
 final class BodyReader {
   private static final long INITIAL_CAPACITY_BYTES = 64 * 1024;
@@ -29,15 +29,16 @@
     this.maximumBufferedBytes = maximumBufferedBytes;
   }
 
-  /** Returns the bytes of all bodies that are held. */
+  /** Returns the total size of all buffered bodies in bytes. */
   long bufferedBytes() {
     return bufferedBytes.get();
   }
 
   /**
-   * Reads the body; on success the reader of it calls {@link #release} when it is done with it.
+   * Reads the body; on success the caller of this method calls {@link #release} once it no longer
+   * needs the body.
    *
-   * <p>Fails with BODY_TOO_LARGE, OVERLOADED, or INVALID_REQUEST if the body ends too early.
+   * <p>Fails with BODY_TOO_LARGE, OVERLOADED, or INVALID_REQUEST if the body is truncated.
    */
   Future<Buffer> read(HttpServerRequest request) {
     long declaredBytes = declaredLength(request);
@@ -53,7 +54,7 @@
     return new BodyCollector(request, Math.max(0, declaredBytes)).begin();
   }
 
-  /** Gives back the room of a body. */
+  /** Subtracts the size of a body that is no longer needed from the buffered bytes. */
   void release(long bytes) {
     bufferedBytes.addAndGet(-bytes);
   }
@@ -70,7 +71,10 @@
     }
   }
 
-  /** Refuses without reading; the connection ends since the body was not taken off it. */
+  /**
+   * Refuses a request without reading its body; closes the connection, which still carries the
+   * body.
+   */
   private Future<Buffer> refuse(HttpServerRequest request, AgatefieldException failure) {
     request.response().putHeader("Connection", "close");
     LingeringClose.begin(vertx, request);
@@ -79,15 +83,16 @@
 
   private AgatefieldException tooLarge() {
     return new AgatefieldException(
-        ErrorKind.BODY_TOO_LARGE, "the body exceeds " + maximumBodyBytes + " bytes");
+        ErrorKind.BODY_TOO_LARGE, "the request body exceeds " + maximumBodyBytes + " bytes");
   }
 
   private AgatefieldException overloaded() {
     return new AgatefieldException(
-        ErrorKind.OVERLOADED, "the bodies held exceed " + maximumBufferedBytes + " bytes");
+        ErrorKind.OVERLOADED,
+        "the buffered request bodies exceed " + maximumBufferedBytes + " bytes");
   }
 
-  /** One body that is being read. Confined to the context of its request. */
+  /** Collects one body. Confined to the context of its request. */
   private final class BodyCollector {
     private final HttpServerRequest request;
     private final Promise<Buffer> promise = Promise.promise();
@@ -141,7 +146,7 @@
 
     private AgatefieldException truncated() {
       return new AgatefieldException(
-          ErrorKind.INVALID_REQUEST, "the body ended before its announced length");
+          ErrorKind.INVALID_REQUEST, "the request body ended before its declared length");
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/BufferedAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/BufferedAnswer.java
@@ -5,7 +5,7 @@
 import org.agatefield.engine.EngineAnswerPart;
 import org.agatefield.model.AgatefieldException;
 
-/** An answer that is written in one piece after it was checked whole. */
+/** Writes an answer in one piece once it is known to be complete. */
 final class BufferedAnswer implements CallerAnswer {
   private final HttpServerResponse response;
   private final AnswerIdentity identity;
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerAnswer.java
@@ -5,30 +5,33 @@
 import org.agatefield.model.AgatefieldException;
 
 /**
- * Writes the answer of a model to its caller.
+ * Writes a model's answer to the caller.
  *
- * <p>Invariant: the end of a success is written only by {@link #succeed()}; an answer that has
- * begun and fails can be told from a whole one. Confined to the context of the request.
+ * <p>Invariant: only {@link #succeed()} writes the end of a successful answer, so that callers can
+ * distinguish an answer that failed midway from a complete one. Confined to the context of the
+ * request.
  */
 interface CallerAnswer {
-  /** Takes the next part of the current attempt. */
+  /** Accepts the next part from the current attempt. */
   void accept(EngineAnswerPart part);
 
-  /** Forgets what was held back of an attempt that failed; what was written stays. */
+  /** Discards the withheld parts of an attempt that failed; parts that were written remain. */
   void attemptFailed();
 
-  /** Returns the number of tokens that were written. */
+  /** Returns the number of tokens written so far. */
   int writtenTokens();
 
-  /** Returns whether the caller reads slower than the parts come. */
+  /**
+   * Returns whether the write queue is full because the caller reads more slowly than parts arrive.
+   */
   boolean isFull();
 
-  /** Calls {@code action} once the caller has read enough. */
+  /** Runs {@code action} once the write queue has drained. */
   void onDrained(Runnable action);
 
-  /** Ends the whole answer; completes when all of it is written to the connection. */
+  /** Ends a complete answer; the result completes when all of it is written to the connection. */
   Future<Void> succeed();
 
-  /** Ends with an explicit error; completes when it is written to the connection. */
+  /** Ends with an explicit error; the result completes when it is written to the connection. */
   Future<Void> fail(AgatefieldException failure);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
@@ -16,12 +16,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The callers' HTTP interface.
+ * The HTTP API for callers.
  *
- * <p>Invariants: every request is answered once, with a whole answer or an error of the closed list
- * that says whether it ran; a request that is counted in at the shutdown coordinator is counted out
- * when nothing of it runs any more. Safe for use by any thread; each request is confined to its
- * context.
+ * <p>Invariants: every request is answered once, with a complete answer or with an {@link
+ * ErrorKind} and whether the request ran; a request registered with the {@link ShutdownCoordinator}
+ * is deregistered when nothing of it is running any more. Safe for use by any thread; each request
+ * is confined to its context.
  */
 public final class CallerApi {
   private static final Logger LOGGER = LogManager.getLogger(CallerApi.class);
@@ -36,7 +36,7 @@
   private final String requestIdPrefix = UUID.randomUUID().toString().substring(0, 13);
   private final AtomicLong nextRequest = new AtomicLong(1);
 
-  /** Creates the interface; it serves once it is mounted. */
+  /** Creates the API; it serves requests once it is mounted. */
   public CallerApi(CallerApiDependencies dependencies) {
     this.dependencies = dependencies;
     this.authenticator = new CallerAuthenticator(dependencies.configuration());
@@ -58,35 +58,35 @@
             "agatefield.callers.running", () -> (Gauge<Integer>) dependencies.shutdown()::running);
   }
 
-  /** Adds the routes of the interface. */
+  /** Adds the routes of the API. */
   public void mount(Router router) {
     router.post("/v1/chat/completions").handler(context -> serve(context, generations.chat()));
     router.post("/v1/completions").handler(context -> serve(context, generations.completions()));
     router.route("/services/:name").handler(context -> serve(context, services::handle));
     router.route("/services/:name/*").handler(context -> serve(context, services::handle));
-    router.get("/v1/models").handler(guarded(directory::models));
-    router.get("/v1/models/:name").handler(guarded(directory::model));
-    router.get("/v1/entries").handler(guarded(directory::entries));
+    router.get("/v1/models").handler(authenticated(directory::models));
+    router.get("/v1/models/:name").handler(authenticated(directory::model));
+    router.get("/v1/entries").handler(authenticated(directory::entries));
     router.get("/healthz").handler(directory::health);
     router.get("/readyz").handler(directory::readiness);
     router.errorHandler(404, context -> refuse(context, notFound(context)));
     router.errorHandler(405, context -> refuse(context, notFound(context)));
     router.errorHandler(400, context -> refuse(context, malformed(context)));
-    router.errorHandler(500, context -> refuse(context, fault(context)));
+    router.errorHandler(500, context -> refuse(context, internalError(context)));
   }
 
-  /** Serves a request whose body has been read. */
+  /** Handles requests whose body has been read. */
   @FunctionalInterface
   interface BodyHandler {
     /**
-     * Serves the request.
+     * Handles the request.
      *
-     * @param onCompletion called once when nothing of the request runs any more
+     * @param onCompletion called once, when nothing of the request is running any more
      * @throws AgatefieldException if the request is refused; {@code onCompletion} is not called
      *     then
      */
     void handle(
-        RoutingContext context, RequestAttributes terms, Buffer body, Runnable onCompletion);
+        RoutingContext context, RequestAttributes attributes, Buffer body, Runnable onCompletion);
   }
 
   private void serve(RoutingContext context, BodyHandler handler) {
@@ -101,9 +101,9 @@
       return;
     }
     Runnable requestCompletion = dependencies.shutdown().requestCompletion();
-    RequestAttributes terms;
+    RequestAttributes attributes;
     try {
-      terms =
+      attributes =
           RequestAttributes.read(
               request,
               requestId,
@@ -115,7 +115,7 @@
     }
     bodies
         .read(request)
-        .onSuccess(body -> serve(context, handler, terms, body, requestCompletion))
+        .onSuccess(body -> serve(context, handler, attributes, body, requestCompletion))
         .onFailure(
             failure ->
                 refuse(context, AgatefieldException.from(failure))
@@ -125,7 +125,7 @@
   private void serve(
       RoutingContext context,
       BodyHandler handler,
-      RequestAttributes terms,
+      RequestAttributes attributes,
       Buffer body,
       Runnable requestCompletion) {
     int length = body.length();
@@ -135,7 +135,7 @@
           requestCompletion.run();
         };
     try {
-      handler.handle(context, terms, body, onCompletion);
+      handler.handle(context, attributes, body, onCompletion);
     } catch (AgatefieldException failure) {
       refuse(context, failure).onComplete(ignored -> onCompletion.run());
     } catch (RuntimeException exception) {
@@ -144,7 +144,7 @@
     }
   }
 
-  private Handler<RoutingContext> guarded(Handler<RoutingContext> handler) {
+  private Handler<RoutingContext> authenticated(Handler<RoutingContext> handler) {
     return context -> {
       try {
         authenticator.authenticate(context.request());
@@ -158,7 +158,7 @@
   private Future<Void> refuse(RoutingContext context, AgatefieldException failure) {
     dependencies.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
     if (failure.kind() == ErrorKind.INTERNAL) {
-      LOGGER.error("unexpected fault path={}", context.request().path(), failure);
+      LOGGER.error("unexpected error path={}", context.request().path(), failure);
     }
     return ErrorAnswer.send(context.response(), failure);
   }
@@ -166,7 +166,7 @@
   private static AgatefieldException notFound(RoutingContext context) {
     return new AgatefieldException(
         ErrorKind.NOT_FOUND,
-        "no interface at " + context.request().method() + " " + context.request().path());
+        "no endpoint at " + context.request().method() + " " + context.request().path());
   }
 
   private static AgatefieldException malformed(RoutingContext context) {
@@ -174,8 +174,10 @@
         ErrorKind.INVALID_REQUEST, "the path is malformed: " + context.request().uri());
   }
 
-  private static AgatefieldException fault(RoutingContext context) {
+  private static AgatefieldException internalError(RoutingContext context) {
     return AgatefieldException.from(
-        context.failure() == null ? new IllegalStateException("no cause") : context.failure());
+        context.failure() == null
+            ? new IllegalStateException("the request failed without a cause")
+            : context.failure());
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApiDependencies.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApiDependencies.java
@@ -13,20 +13,20 @@
 import org.agatefield.settings.DaemonSettings;
 
 /**
- * What the callers' interface is built on. Immutable.
+ * The components that {@link CallerApi} uses. Immutable.
  *
  * @param vertx runs the event loops
  * @param configuration the configuration in force
  * @param dispatcher admits requests and chooses upstreams
- * @param engines talks to model engines
+ * @param engines client for model engines
  * @param adapterLoader loads adapters before a request is sent
- * @param nonRepeatableCalls runs calls that must not repeat
- * @param entries answers which instances to use
- * @param instances knows this instance
- * @param shutdown knows whether this instance takes new requests
- * @param monitor reported of broken promises
+ * @param nonRepeatableCalls executes non-repeatable service calls
+ * @param entries selects the instances that callers should use
+ * @param instances provides this instance's own entry
+ * @param shutdown tracks running requests and whether new ones are accepted
+ * @param monitor checks invariants and records violations
  * @param metrics counts requests and errors
- * @param limits bounds of the work
+ * @param limits request limits from the settings
  */
 public record CallerApiDependencies(
     Vertx vertx,
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerAuthenticator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerAuthenticator.java
@@ -14,10 +14,10 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * Finds out who sent a request, from its bearer token.
+ * Identifies callers by the bearer tokens of their requests.
  *
- * <p>Invariant: tokens are compared by their SHA-256 only. Safe for use by any thread: the index is
- * replaced as a whole.
+ * <p>Invariant: tokens are compared only by their SHA-256 digests. Safe for use by any thread: a
+ * new configuration replaces the whole index at once.
  */
 final class CallerAuthenticator {
   private static final Caller ANONYMOUS =
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Returns the caller of a request; the anonymous one if no callers are configured.
+   * Returns the caller of a request, or the anonymous caller if no callers are configured.
    *
    * @throws AgatefieldException of kind UNAUTHENTICATED if the token is missing or unknown
    */
--- a/daemon/src/main/java/org/agatefield/daemon/http/DirectoryHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/DirectoryHandler.java
@@ -13,7 +13,7 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Answers which models there are, which instances to use, and how this instance is.
+ * Serves the list of models, the entry addresses, and the health and readiness of this instance.
  *
  * <p>Stateless.
  */
@@ -42,7 +42,7 @@
     ConfigurationDocument document = dependencies.configuration().current();
     if (document.deployment(name).isEmpty() && document.adapter(name).isEmpty()) {
       throw new AgatefieldException(
-          ErrorKind.NOT_FOUND, "no model of the name '" + name + "' is configured");
+          ErrorKind.NOT_FOUND, "no model named '" + name + "' is configured");
     }
     send(context, STATUS_OK, describe(name));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/http/ErrorAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ErrorAnswer.java
@@ -14,8 +14,8 @@
 import org.agatefield.model.RetryAdvice;
 
 /**
- * Answers failures as JSON in the shape that OpenAI clients read, from the table of {@link
- * ErrorKind}. Stateless.
+ * Writes failures as JSON in the format that OpenAI clients expect, with status and code from
+ * {@link ErrorKind}. Stateless.
  */
 final class ErrorAnswer {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -26,7 +26,8 @@
   private ErrorAnswer() {}
 
   /**
-   * Answers a failure, unless the answer has already begun; completes when the answer is written.
+   * Writes the failure unless a response has already begun; the result completes when it is
+   * written.
    */
   static Future<Void> send(HttpServerResponse response, AgatefieldException failure) {
     if (response.headWritten() || response.ended() || response.closed()) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
@@ -19,11 +19,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One request to a model, from admission to the end of its answer, over one or more attempts.
+ * Processes one model request, from admission to the end of its answer, in one or more attempts.
  *
- * <p>Invariants: the caller's answer is ended exactly once; only the current attempt is heard; when
- * the request is over, its place is given back and nothing of it runs upstream. All state is
- * confined to the context of the caller's request.
+ * <p>Invariants: the caller's answer is ended exactly once; only events of the current attempt have
+ * an effect; once the request has completed, its dispatch is released and no upstream is still
+ * running it. All state is confined to the context of the caller's request.
  */
 final class Generation {
   private static final Logger LOGGER = LogManager.getLogger(Generation.class);
@@ -45,9 +45,9 @@
   private boolean completed;
 
   /**
-   * Creates a request that has not begun.
+   * Creates a request that has not started yet.
    *
-   * @param onCompletion called once when the request is completed and its answer is written
+   * @param onCompletion called once, when the request has completed and its answer is written
    */
   Generation(
       CallerApiDependencies dependencies,
@@ -62,10 +62,10 @@
     this.onCompletion = onCompletion;
   }
 
-  /** Asks for admission; called once, on the context. */
+  /** Requests admission; called once, on the context. */
   void begin(HttpServerResponse response) {
     response.closeHandler(ignored -> callerDisconnected());
-    long remaining = Math.max(1, task.terms().remaining().toMillis());
+    long remaining = Math.max(1, task.attributes().remaining().toMillis());
     deadlineTimer = dependencies.vertx().setTimer(remaining, ignored -> deadlinePassed());
     ModelRequest request = task.toModelRequest();
     acquire(dependencies.dispatcher().acquire(request));
@@ -141,7 +141,7 @@
     history.failed(failure);
     LOGGER.info(
         "attempt failed request={} attempt={} upstream={} tokens={} kind={} cause=\"{}\"",
-        task.terms().requestId(),
+        task.attributes().requestId(),
         dispatch.attemptNumber(),
         dispatch.upstream().name(),
         answer.writtenTokens(),
@@ -166,7 +166,10 @@
     }
   }
 
-  /** The loader may believe a report that is out of date; the engine's word counts. */
+  /**
+   * Orders the adapter although the loader considers it loaded: the loader may have used an
+   * outdated load report, so the engine's refusal takes precedence.
+   */
   private void loadAdapter() {
     Dispatch prepared = dispatch;
     AdapterOrder.send(dependencies, prepared)
@@ -229,13 +232,13 @@
     }
   }
 
-  /** Hears the answer of one attempt; nothing is heard once another attempt is the current one. */
+  /** Receives the answer of one attempt; ignores events once another attempt is the current one. */
   private final class Attempt implements EngineAnswerListener {
     private boolean answered;
 
     @Override
     public void head(String contentType) {
-      // The first part decides when the caller's answer begins.
+      // The caller's answer begins with the first part.
     }
 
     @Override
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationBody.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationBody.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * A request body for a model, checked, with the places that are changed for the engine.
+ * A validated model request body with the byte ranges that are replaced for the engine.
  *
- * <p>Immutable as long as nobody changes {@code raw}.
+ * <p>Immutable provided that {@code raw} is not modified.
  *
  * @param raw the body as the caller sent it, one JSON object
- * @param model the deployment or adapter asked for
- * @param modelValue where the value of {@code model} lies
- * @param seedValue where the value of {@code seed} lies; empty if there is none
- * @param priorityValue where the value of {@code priority} lies; empty if there is none
+ * @param model the requested deployment or adapter
+ * @param modelValue range of the value of {@code model}
+ * @param seedValue range of the value of {@code seed}; empty if there is none
+ * @param priorityValue range of the value of {@code priority}; empty if there is none
  * @param stream whether to answer with an event stream
- * @param choices number of answers asked for
- * @param maximumTokens the most tokens to generate
+ * @param choices number of answers requested
+ * @param maximumTokens maximum number of tokens to generate
  * @param promptTokens estimated number of prompt tokens
- * @param prefixHashes hashes of the prompt's growing prefixes, one each 256 bytes
+ * @param prefixHashes hashes of ever longer prefixes of the prompt, one for each 256 bytes
  */
 record GenerationBody(
     Buffer raw,
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Returns whether a stream that was cut can go on from its last token on another replica; with
-   * several answers in one stream the number of tokens does not say where each stands.
+   * Returns whether an interrupted stream can resume after its last token on another replica. If
+   * one stream contains several answers, the number of tokens does not determine the position in
+   * each.
    */
   boolean isResumable() {
     return choices == 1;
@@ -47,10 +48,11 @@
   /**
    * Returns the body for an engine.
    *
-   * @param engineModel the engine's name of the version or adapter
-   * @param firstToken number of tokens that the engine leaves out
-   * @param seed makes another replica sample the same tokens; used if the caller gave none
-   * @param priority smaller ones go first
+   * @param engineModel the name under which the engine serves the version or adapter
+   * @param firstToken number of leading tokens that the engine omits from its answer
+   * @param seed sampling seed with which every replica generates the same tokens; used if the
+   *     caller gave none
+   * @param priority priority at the engine; lower values are served first
    */
   Buffer forEngine(String engineModel, int firstToken, long seed, int priority) {
     Buffer result = Buffer.buffer(raw.length() + 128 + engineModel.length());
@@ -99,7 +101,7 @@
    * A range of bytes of the body. Immutable.
    *
    * @param start the first byte
-   * @param end one past the last byte; equal to {@code start} if there is nothing
+   * @param end one past the last byte; equal to {@code start} if the range is empty
    */
   record BodyRange(int start, int end) {
     static final BodyRange NONE = new BodyRange(0, 0);
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationBodyReader.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationBodyReader.java
@@ -13,9 +13,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Reads and checks the body of a request to a model in one pass, without building a tree.
+ * Parses and validates the body of a model request in one pass, without building a JSON tree.
  *
- * <p>Used for one body; not safe for use by several threads.
+ * <p>Each reader is used for one body, by one thread.
  */
 final class GenerationBodyReader {
   private static final JsonFactory FACTORY =
@@ -160,7 +160,10 @@
     return new BodyRange(start, start + lengthOf(parser, start));
   }
 
-  /** A number is followed by a byte that the parser may have taken already. */
+  /**
+   * Numbers are measured by their text, since the parser may already have consumed the byte after a
+   * number.
+   */
   private static int lengthOf(JsonParser parser, int start) throws IOException {
     if (parser.currentToken() == JsonToken.VALUE_STRING) {
       return (int) parser.currentLocation().getByteOffset() - start;
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationHandler.java
@@ -13,7 +13,7 @@
 import org.agatefield.model.Priority;
 
 /**
- * Serves requests to models.
+ * Handles chat and text completion requests.
  *
  * <p>Safe for use by any thread; each request is confined to its context.
  */
@@ -28,18 +28,18 @@
   }
 
   CallerApi.BodyHandler chat() {
-    return (context, terms, body, onCompletion) ->
-        handle(context, terms, body, onCompletion, CHAT_PATH, "messages");
+    return (context, attributes, body, onCompletion) ->
+        handle(context, attributes, body, onCompletion, CHAT_PATH, "messages");
   }
 
   CallerApi.BodyHandler completions() {
-    return (context, terms, body, onCompletion) ->
-        handle(context, terms, body, onCompletion, COMPLETIONS_PATH, "prompt");
+    return (context, attributes, body, onCompletion) ->
+        handle(context, attributes, body, onCompletion, COMPLETIONS_PATH, "prompt");
   }
 
   private void handle(
       RoutingContext routing,
-      RequestAttributes terms,
+      RequestAttributes attributes,
       Buffer raw,
       Runnable onCompletion,
       String path,
@@ -47,10 +47,10 @@
     HttpServerRequest request = routing.request();
     checkContentType(request.getHeader("Content-Type"));
     GenerationBody body = GenerationBodyReader.read(raw, promptField);
-    Priority priority = RequestAttributes.lower(terms.priority(), deployment(body).priority());
-    GenerationTask task = new GenerationTask(terms, priority, path, body);
+    Priority priority = RequestAttributes.lower(attributes.priority(), deployment(body).priority());
+    GenerationTask task = new GenerationTask(attributes, priority, path, body);
     String prefix = path.equals(CHAT_PATH) ? "chatcmpl-" : "cmpl-";
-    AnswerIdentity identity = AnswerIdentity.of(prefix + terms.requestId(), body.model());
+    AnswerIdentity identity = AnswerIdentity.of(prefix + attributes.requestId(), body.model());
     CallerAnswer answer =
         body.stream()
             ? new StreamedAnswer(request.response(), identity)
@@ -79,7 +79,6 @@
         .orElseThrow(
             () ->
                 new AgatefieldException(
-                    ErrorKind.NOT_FOUND,
-                    "no model of the name '" + body.model() + "' is configured"));
+                    ErrorKind.NOT_FOUND, "no model named '" + body.model() + "' is configured"));
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationTask.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationTask.java
@@ -6,24 +6,24 @@
 import org.agatefield.model.Priority;
 
 /**
- * What a caller wants of a model, and on what terms. Immutable.
+ * A caller's request to a model, with its attributes and effective priority. Immutable.
  *
- * @param terms the terms
- * @param priority the terms' priority, limited by the deployment's
+ * @param attributes identifier, caller and deadline of the request
+ * @param priority the priority of the request, limited by that of the deployment
  * @param path {@code /v1/chat/completions} or {@code /v1/completions}
- * @param body the checked body
+ * @param body the validated body
  */
 record GenerationTask(
-    RequestAttributes terms, Priority priority, String path, GenerationBody body) {
+    RequestAttributes attributes, Priority priority, String path, GenerationBody body) {
   private static final long SEED_MASK = 0x7FFF_FFFFL;
 
   ModelRequest toModelRequest() {
     return new ModelRequest(
-        terms.requestId(),
-        terms.caller().name(),
+        attributes.requestId(),
+        attributes.caller().name(),
         body.model(),
         priority,
-        terms.remaining(),
+        attributes.remaining(),
         body.raw().length(),
         body.promptTokens(),
         body.maximumTokens(),
@@ -33,7 +33,7 @@
   EngineRequest toEngineRequest(Dispatch dispatch, int firstToken) {
     String version = dispatch.version().orElseThrow().engineName();
     String engineModel = dispatch.adapter().map(name -> version + ":" + name).orElse(version);
-    String attemptIdentifier = terms.requestId() + "." + dispatch.attemptNumber();
+    String attemptIdentifier = attributes.requestId() + "." + dispatch.attemptNumber();
     return new EngineRequest(
         path,
         body.forEngine(engineModel, firstToken, seed(), enginePriority()),
@@ -42,7 +42,7 @@
   }
 
   private long seed() {
-    return terms.requestId().hashCode() & SEED_MASK;
+    return attributes.requestId().hashCode() & SEED_MASK;
   }
 
   private int enginePriority() {
--- a/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
@@ -19,9 +19,11 @@
 import org.agatefield.model.Upstream;
 
 /**
- * Asks the runners of a service, one after the other, for the outcome of an idempotency key.
+ * Queries the runners of a service, one after the other, for the outcome of a call by its
+ * idempotency key.
  *
- * <p>A status of 200 is the outcome; anything else says nothing. Safe for use by any thread.
+ * <p>A response with status 200 is the outcome; any other result leaves the outcome unknown. Safe
+ * for use by any thread.
  */
 public final class HttpOutcomeQuery implements OutcomeQuery {
   private static final String KEY_PLACEHOLDER = "{key}";
--- a/daemon/src/main/java/org/agatefield/daemon/http/InvalidRequestHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/InvalidRequestHandler.java
@@ -9,12 +9,13 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Answers requests that the HTTP server could not read: headers that are too large, or malformed.
+ * Rejects requests that the HTTP server could not parse: malformed ones and those with too large
+ * headers.
  *
  * <p>Stateless.
  */
 public final class InvalidRequestHandler implements Handler<HttpServerRequest> {
-  /** Answers with the kind of the fault and ends the connection. */
+  /** Responds with the matching error kind and closes the connection. */
   @Override
   public void handle(HttpServerRequest request) {
     Throwable cause = request.decoderResult().cause();
--- a/daemon/src/main/java/org/agatefield/daemon/http/LingeringClose.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/LingeringClose.java
@@ -5,18 +5,18 @@
 import io.vertx.core.http.HttpVersion;
 
 /**
- * Ends connections on which a request was answered before it was read whole.
+ * Closes connections on which a request was answered before it was read completely.
  *
- * <p>What the caller still sends is thrown away for a while first: a connection that is closed with
- * unread bytes is reset, and the caller might lose the answer. A connection of HTTP/2 stays open,
- * since other requests use it. Stateless.
+ * <p>Discards what the caller still sends for a limited time first: closing a connection with
+ * unread bytes resets it, and the caller might lose the answer. HTTP/2 connections stay open, since
+ * other requests share them. Stateless.
  */
 final class LingeringClose {
   private static final long LINGER_MILLISECONDS = 10_000;
 
   private LingeringClose() {}
 
-  /** Closes the connection of a request once the request has ended or time is up. */
+  /** Closes the connection of a request once the request has ended or the time limit has passed. */
   static void begin(Vertx vertx, HttpServerRequest request) {
     if (request.version() == HttpVersion.HTTP_2) {
       request.handler(ignored -> {});
--- a/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
@@ -9,11 +9,11 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * A call of a plain service that may be run again on another runner when one fails.
+ * Executes a repeatable call of a plain service; retries it on another runner if an attempt fails.
  *
- * <p>Invariants: one attempt at a time; the result completes once, and cancelling it ends the
- * running attempt. Safe for use by any thread; the one lock is {@code this}, futures are completed
- * outside it.
+ * <p>Invariants: at most one attempt runs at a time; the result completes once, and cancelling it
+ * cancels the running attempt. Safe for use by any thread; the only lock is {@code this}, and
+ * futures are completed outside it.
  */
 final class RepeatableCall {
   private static final int MAXIMUM_ATTEMPTS = 4;
--- a/daemon/src/main/java/org/agatefield/daemon/http/RequestAttributes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RequestAttributes.java
@@ -9,12 +9,12 @@
 import org.agatefield.model.Priority;
 
 /**
- * On what terms a request is served. Immutable.
+ * The caller, priority and deadline of a request. Immutable.
  *
- * @param requestId unique to this arrival
- * @param caller who sent it
- * @param priority the priority asked for, limited by what the caller may have
- * @param deadlineNanoseconds when the caller stops waiting, by the monotonic clock
+ * @param requestId unique identifier of this request
+ * @param caller the caller that sent the request
+ * @param priority the requested priority, limited by that of the caller
+ * @param deadlineNanoseconds when the caller stops waiting, in nanoseconds of the monotonic clock
  */
 record RequestAttributes(
     String requestId, Caller caller, Priority priority, long deadlineNanoseconds) {
@@ -23,7 +23,7 @@
   private static final long MAXIMUM_DEADLINE_MILLISECONDS = 24L * 60 * 60 * 1000;
 
   /**
-   * Reads the terms from the headers of a request.
+   * Reads the attributes from the headers of a request.
    *
    * @throws AgatefieldException of kind INVALID_REQUEST if a header is malformed
    */
@@ -55,7 +55,7 @@
         return Math.min(milliseconds, MAXIMUM_DEADLINE_MILLISECONDS);
       }
     } catch (NumberFormatException exception) {
-      // Answered below, like a negative number.
+      // Rejected below, like a negative number.
     }
     throw new AgatefieldException(
         ErrorKind.INVALID_REQUEST,
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
@@ -10,16 +10,16 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Waits for the answer of a service until the caller's deadline and writes it.
+ * Waits for the answer of a plain service until the caller's deadline and writes it to the caller.
  *
- * <p>Invariant: the caller is answered once. A call that goes on after the deadline, or after the
- * caller has gone, is not disturbed if it must not repeat. Confined to the context of the request.
+ * <p>Invariant: the caller is answered once. A non-repeatable call continues after the deadline and
+ * after the caller has disconnected. Confined to the context of the request.
  */
 final class ServiceAnswer {
   private final CallerApiDependencies dependencies;
   private final Context context;
   private final HttpServerResponse response;
-  private final RequestAttributes terms;
+  private final RequestAttributes attributes;
   private final CompletableFuture<ServiceExchange> answer;
   private final Runnable onCompletion;
   private long deadlineTimer;
@@ -28,20 +28,20 @@
   ServiceAnswer(
       CallerApiDependencies dependencies,
       RoutingContext routing,
-      RequestAttributes terms,
+      RequestAttributes attributes,
       CompletableFuture<ServiceExchange> answer,
       Runnable onCompletion) {
     this.dependencies = dependencies;
     this.context = dependencies.vertx().getOrCreateContext();
     this.response = routing.response();
-    this.terms = terms;
+    this.attributes = attributes;
     this.answer = answer;
     this.onCompletion = onCompletion;
   }
 
   void begin() {
     response.closeHandler(ignored -> callerDisconnected());
-    long remaining = Math.max(1, terms.remaining().toMillis());
+    long remaining = Math.max(1, attributes.remaining().toMillis());
     deadlineTimer = dependencies.vertx().setTimer(remaining, ignored -> deadlinePassed());
     answer.whenComplete((exchange, failure) -> onContext(() -> answered(exchange, failure)));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceHandler.java
@@ -21,8 +21,8 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * Serves calls of plain services: those that may repeat with a retry on another runner, the others
- * at most once under their idempotency key.
+ * Handles calls of plain services: repeatable calls are retried on another runner, the others run
+ * at most once for each idempotency key.
  *
  * <p>Safe for use by any thread; each call is confined to the context of its request.
  */
@@ -41,19 +41,20 @@
     this.client = new UpstreamServiceClient(dependencies.vertx());
   }
 
-  /** Serves a call whose body was read. */
-  void handle(RoutingContext context, RequestAttributes terms, Buffer body, Runnable onCompletion) {
+  /** Handles a call whose body has been read. */
+  void handle(
+      RoutingContext context, RequestAttributes attributes, Buffer body, Runnable onCompletion) {
     HttpServerRequest request = context.request();
     PlainService service = service(context.pathParam("name"));
     String target = request.uri().substring("/services/".length() + service.name().length());
     String path = target.startsWith("/") ? target : "/" + target;
     CompletableFuture<ServiceExchange> answer;
     if (service.isRepeatable(request.method().name(), pathOnly(path))) {
-      answer = repeatable(request, service, path, terms, body);
+      answer = repeatable(request, service, path, attributes, body);
     } else {
-      answer = nonRepeatable(request, service, path, terms, body);
+      answer = nonRepeatable(request, service, path, attributes, body);
     }
-    new ServiceAnswer(dependencies, context, terms, answer, onCompletion).begin();
+    new ServiceAnswer(dependencies, context, attributes, answer, onCompletion).begin();
   }
 
   private PlainService service(String name) {
@@ -64,7 +65,7 @@
         .orElseThrow(
             () ->
                 new AgatefieldException(
-                    ErrorKind.NOT_FOUND, "no service of the name '" + name + "' is configured"));
+                    ErrorKind.NOT_FOUND, "no service named '" + name + "' is configured"));
   }
 
   private static String pathOnly(String path) {
@@ -76,37 +77,39 @@
       HttpServerRequest request,
       PlainService service,
       String path,
-      RequestAttributes terms,
+      RequestAttributes attributes,
       Buffer body) {
-    UpstreamServiceRequest upstreamRequest = upstreamRequest(request, service, path, terms, body);
-    ServiceRequest serviceRequest = serviceRequest(service, terms, body);
+    UpstreamServiceRequest upstreamRequest =
+        upstreamRequest(request, service, path, attributes, body);
+    ServiceRequest serviceRequest = serviceRequest(service, attributes, body);
     return new RepeatableCall(dependencies, client, serviceRequest, upstreamRequest).begin();
   }
 
-  /** The result is a copy: giving it up does not disturb the call. */
+  /** Returns a copy of the call's future, so that cancelling it does not affect the call. */
   private CompletableFuture<ServiceExchange> nonRepeatable(
       HttpServerRequest request,
       PlainService service,
       String path,
-      RequestAttributes terms,
+      RequestAttributes attributes,
       Buffer body) {
     String key = key(request);
-    UpstreamServiceRequest upstreamRequest = upstreamRequest(request, service, path, terms, body);
+    UpstreamServiceRequest upstreamRequest =
+        upstreamRequest(request, service, path, attributes, body);
     NonRepeatableCall call =
         new NonRepeatableCall(
-            terms.requestId(),
-            terms.caller().name(),
+            attributes.requestId(),
+            attributes.caller().name(),
             service,
             request.method().name(),
             path,
             key,
             digest(request.method().name(), path, body),
-            terms.remaining());
+            attributes.remaining());
     return dependencies
         .nonRepeatableCalls()
         .execute(
             call,
-            serviceRequest(service, terms, body),
+            serviceRequest(service, attributes, body),
             dependencies.dispatcher(),
             runner -> client.sendOnce(runner, upstreamRequest))
         .copy();
@@ -117,7 +120,7 @@
     if (key == null || key.isBlank()) {
       throw new AgatefieldException(
           ErrorKind.MISSING_IDEMPOTENCY_KEY,
-          "the call must not repeat, so it needs the header '" + KEY_HEADER + "'");
+          "a non-repeatable call requires the header '" + KEY_HEADER + "'");
     }
     boolean printable = key.chars().allMatch(character -> character > ' ' && character < 127);
     if (key.length() > MAXIMUM_KEY_LENGTH || !printable) {
@@ -127,7 +130,7 @@
     }
     if (request.headers().getAll(KEY_HEADER).size() > 1) {
       throw new AgatefieldException(
-          ErrorKind.INVALID_REQUEST, KEY_HEADER + ": must be given once only");
+          ErrorKind.INVALID_REQUEST, KEY_HEADER + ": must occur only once");
     }
     return key;
   }
@@ -140,13 +143,13 @@
   }
 
   private static ServiceRequest serviceRequest(
-      PlainService service, RequestAttributes terms, Buffer body) {
+      PlainService service, RequestAttributes attributes, Buffer body) {
     return new ServiceRequest(
-        terms.requestId(),
-        terms.caller().name(),
+        attributes.requestId(),
+        attributes.caller().name(),
         service.name(),
-        terms.priority(),
-        terms.remaining(),
+        attributes.priority(),
+        attributes.remaining(),
         body.length());
   }
 
@@ -154,7 +157,7 @@
       HttpServerRequest request,
       PlainService service,
       String path,
-      RequestAttributes terms,
+      RequestAttributes attributes,
       Buffer body) {
     Map<String, String> headers = new HashMap<>();
     for (String name : FORWARDED_HEADERS) {
@@ -163,16 +166,16 @@
         headers.put(name, value);
       }
     }
-    headers.put("X-Request-Id", terms.requestId());
+    headers.put("X-Request-Id", attributes.requestId());
     String key = request.getHeader(KEY_HEADER);
     if (key != null) {
-      headers.put(KEY_HEADER, UpstreamKeys.of(terms.caller().name(), key));
+      headers.put(KEY_HEADER, UpstreamKeys.of(attributes.caller().name(), key));
     }
     Duration timeout = Duration.ofMillis(service.timeoutMilliseconds());
     return new UpstreamServiceRequest(request.method(), path, headers, body, timeout);
   }
 
-  /** Writes a whole answer; completes when it is written to the connection. */
+  /** Writes a complete answer; the result completes when it is written to the connection. */
   static Future<Void> write(HttpServerResponse response, ServiceExchange exchange) {
     response.setStatusCode(exchange.status());
     for (ServiceExchange.Header header : exchange.headers()) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
@@ -12,12 +12,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes an instance out of service without cutting a request.
+ * Shuts an instance down gracefully, without interrupting requests.
  *
- * <p>The steps: serving; leaving, in which new requests are still served until no caller can hold
- * an entry answer that names this instance; draining, in which new requests are refused and the
- * running ones end; over. Invariant: the steps follow one another in this order and none is taken
- * back. Safe for use by any thread; the one lock is {@code this}.
+ * <p>Invariant: the steps follow one another in this order and are never reverted: serving;
+ * leaving, in which new requests are still served until no caller can hold a valid entry answer
+ * that names this instance; draining, in which new requests are refused and running ones finish;
+ * over. Safe for use by any thread; the only lock is {@code this}.
  */
 public final class ShutdownCoordinator {
   private static final Logger LOGGER = LogManager.getLogger(ShutdownCoordinator.class);
@@ -47,11 +47,11 @@
   /**
    * Creates the coordinator of a serving instance.
    *
-   * @param entryTimeToLive how long callers may keep an answer that names this instance
-   * @param propagationAllowance how long other instances may go on naming this one after it has
-   *     said that it leaves
-   * @param drainTimeout how long running requests are waited for
-   * @param runningCalls the calls that must not repeat whose outcome is not yet written
+   * @param entryTimeToLive how long callers may use an entry answer that names this instance
+   * @param propagationAllowance how long other instances may still name this one after it has
+   *     announced that it is leaving
+   * @param drainTimeout maximum time to wait for running requests
+   * @param runningCalls number of non-repeatable calls whose outcome is not stored yet
    */
   public ShutdownCoordinator(
       Vertx vertx,
@@ -88,10 +88,10 @@
   }
 
   /**
-   * Begins to leave; later calls return the same future.
+   * Starts the shutdown; later calls return the same future.
    *
-   * @param announceLeaving tells the other instances; called once
-   * @return completes when nothing runs any more, with whether no request was cut
+   * @param announceLeaving announces to the other instances that this one is leaving; called once
+   * @return completes when the shutdown is over, with whether no request was interrupted
    */
   public CompletableFuture<Boolean> beginShutdown(Runnable announceLeaving) {
     synchronized (this) {
@@ -101,28 +101,28 @@
       step = Step.LEAVING;
       leavingSinceNanoseconds = clock.getAsLong();
     }
-    LOGGER.info("leaving entry_time_to_live={} running={}", entryTimeToLive, running());
+    LOGGER.info("shutdown started entry_time_to_live={} running={}", entryTimeToLive, running());
     announceLeaving.run();
     vertx.setPeriodic(CHECK_INTERVAL_MILLISECONDS, this::check);
     return shutdownResult;
   }
 
-  /** Returns whether this instance leaves or has left. */
+  /** Returns whether the shutdown has started. */
   public synchronized boolean isLeaving() {
     return step != Step.SERVING;
   }
 
-  /** Records that an entry answer that names this instance is given out. */
+  /** Records that an entry answer that names this instance is being sent. */
   public synchronized void recordEntryAnswer() {
     lastEntryAnswerNanoseconds = clock.getAsLong();
   }
 
-  /** Returns the number of callers' requests that run. */
+  /** Returns the number of running caller requests. */
   public synchronized int running() {
     return runningRequests;
   }
 
-  /** Counts a request in, unless new ones are refused. */
+  /** Registers a new request; returns false if new requests are refused. */
   synchronized boolean tryBeginRequest() {
     if (step == Step.DRAINING || step == Step.OVER) {
       return false;
@@ -131,7 +131,7 @@
     return true;
   }
 
-  /** Returns what counts a request out that was counted in; running it again does nothing. */
+  /** Returns an action that deregisters one registered request; running it again has no effect. */
   Runnable requestCompletion() {
     AtomicBoolean ended = new AtomicBoolean();
     return () -> {
@@ -159,8 +159,14 @@
     monitor.check(
         Promise.GRACEFUL_SHUTDOWN,
         whole,
-        () -> "cut after " + drainTimeout + ": requests=" + requests + " calls=" + calls);
-    LOGGER.info("left whole={} requests={} calls={}", whole, requests, calls);
+        () ->
+            "still running after the drain timeout of "
+                + drainTimeout
+                + ": requests="
+                + requests
+                + " calls="
+                + calls);
+    LOGGER.info("shutdown finished whole={} requests={} calls={}", whole, requests, calls);
     shutdownResult.complete(whole);
   }
 
@@ -176,7 +182,10 @@
     return step;
   }
 
-  /** Other instances may name this one until they have heard that it leaves. */
+  /**
+   * Returns the last time at which an entry answer may have named this instance; other instances
+   * may name it until the announcement has reached them.
+   */
   private long lastPossibleEntryAnswer() {
     long lastByOthers = leavingSinceNanoseconds + propagationAllowance.toNanos();
     boolean ownIsLater =
--- a/daemon/src/main/java/org/agatefield/daemon/http/StreamedAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/StreamedAnswer.java
@@ -9,10 +9,10 @@
 import org.agatefield.model.AgatefieldException;
 
 /**
- * An answer that is written as server-sent events, each as soon as it comes.
+ * Writes an answer as server-sent events, each as soon as it arrives.
  *
- * <p>Invariants: no token is written twice, also when a later attempt repeats some; the part with
- * the finish reason and what follows it is held back until the attempt is known to be whole.
+ * <p>Invariants: no token is written twice, even if a later attempt repeats some; the part with the
+ * finish reason and everything after it is withheld until the attempt is known to be complete.
  */
 final class StreamedAnswer implements CallerAnswer {
   private static final Buffer DATA_FIELD = Buffer.buffer("data: ");
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
@@ -22,12 +22,12 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Sends calls to the runners of plain services and reads whole answers.
+ * Sends calls to the runners of plain services and reads complete answers.
  *
- * <p>Invariants: an exchange is given out only if its whole body came; a failure says "not run"
- * only if no connection was made. Calls that must not repeat get a connection of their own, so that
- * a connection that the runner has just closed is never mistaken for a lost call. Safe for use by
- * any thread.
+ * <p>Invariants: an exchange is returned only if its whole body was received; a failure has {@code
+ * RunState.NO} only if no connection was made. Each non-repeatable call uses a new connection,
+ * since a pooled connection that the runner has just closed would look like a lost call. Safe for
+ * use by any thread.
  */
 final class UpstreamServiceClient {
   private static final int CONNECT_TIMEOUT_MILLISECONDS = 1_000;
@@ -112,7 +112,7 @@
 
   private static AgatefieldException notConnected(Address runner, Throwable failure) {
     return new AgatefieldException(
-        ErrorKind.NO_UPSTREAM, "no connection to the service runner at " + runner, failure);
+        ErrorKind.NO_UPSTREAM, "cannot connect to the service runner at " + runner, failure);
   }
 
   private static AgatefieldException failed(Address runner, Throwable failure) {
@@ -125,7 +125,7 @@
         failure);
   }
 
-  /** Collects one answer within the limit. Confined to the context of the response. */
+  /** Collects one answer up to the maximum size. Confined to the context of the response. */
   private static final class AnswerCollector {
     private final HttpClientResponse response;
     private final Promise<ServiceExchange> promise = Promise.promise();
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceRequest.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceRequest.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * A call as it goes to a service's runner. Immutable as long as nobody changes {@code body}.
+ * An HTTP request to a runner of a plain service. Immutable provided that {@code body} is not
+ * modified.
  *
  * @param method the HTTP method
  * @param path the path with its query
- * @param headers the headers that are passed on
- * @param body the whole body
- * @param timeout how long the runner may send nothing
+ * @param headers the headers to send
+ * @param body the complete body
+ * @param timeout how long the connection may be idle before the call fails
  */
 record UpstreamServiceRequest(
     HttpMethod method, String path, Map<String, String> headers, Buffer body, Duration timeout) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/package-info.java
@@ -1,2 +1,2 @@
-/** The callers' HTTP interface: models, plain services, entry addresses and graceful shutdown. */
+/** The HTTP API for callers: models, plain services, entry addresses and graceful shutdown. */
 package org.agatefield.daemon.http;
--- a/daemon/src/main/java/org/agatefield/daemon/operate/ConfigurationRoutes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/ConfigurationRoutes.java
@@ -16,7 +16,7 @@
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.model.ErrorKind;
 
-/** The operators' requests about the configuration. Immutable; safe for use by any thread. */
+/** The operators' endpoints for the configuration. Immutable; safe for use by any thread. */
 final class ConfigurationRoutes {
   private final ConfigurationKeeper keeper;
 
@@ -59,7 +59,7 @@
     } catch (NumberFormatException exception) {
       OperatorAnswers.fail(
           context,
-          new AgatefieldException(ErrorKind.INVALID_REQUEST, "the generation is not a number"));
+          new AgatefieldException(ErrorKind.INVALID_REQUEST, "generation: must be a whole number"));
       return;
     }
     answerDocument(context, keeper.historyDocument(generation));
--- a/daemon/src/main/java/org/agatefield/daemon/operate/ConsoleRoutes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/ConsoleRoutes.java
@@ -9,11 +9,11 @@
 import java.io.UncheckedIOException;
 
 /**
- * The operators' console under {@code /console}: forms whose output is the configuration document,
- * checked and applied through the operators' API.
+ * Serves the operators' console under {@code /console}, whose forms edit the configuration document
+ * and validate and apply it through the operators' API.
  *
- * <p>The page itself needs no token; it asks for the one that the API needs. Immutable; safe for
- * use by any thread.
+ * <p>The page itself needs no token; it prompts for the token that the API requires. Immutable;
+ * safe for use by any thread.
  */
 final class ConsoleRoutes {
   private static final String SECURITY_POLICY =
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorAnswers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorAnswers.java
@@ -17,7 +17,7 @@
 import org.agatefield.store.StoreException;
 import org.agatefield.store.StoreFailure;
 
-/** Writes the answers of the operators' API. Has no state. */
+/** Writes the answers of the operators' API. Stateless. */
 final class OperatorAnswers {
   private static final int STATUS_OK = 200;
 
@@ -79,7 +79,8 @@
         .map(
             failure ->
                 failure == StoreFailure.NOT_FOUND
-                    ? new AgatefieldException(ErrorKind.NOT_FOUND, "no such generation is kept")
+                    ? new AgatefieldException(
+                        ErrorKind.NOT_FOUND, "no such generation in the history")
                     : new AgatefieldException(
                         ErrorKind.STORE_UNAVAILABLE, "the store cannot be read", throwable))
         .orElseGet(() -> AgatefieldException.from(throwable));
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApi.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApi.java
@@ -4,8 +4,8 @@
 import io.vertx.ext.web.handler.BodyHandler;
 
 /**
- * The operators' API under {@code /operator}, for those who hold the operators' token, and the
- * console that drives it.
+ * The operators' API under {@code /operator}, which requires the operators' token, and the console
+ * that uses it.
  *
  * <p>Immutable; safe for use by any thread.
  */
@@ -18,7 +18,7 @@
   /**
    * Creates the API.
    *
-   * @param operatorTokenSha256 the SHA-256 of the bearer token, 64 hexadecimal digits
+   * @param operatorTokenSha256 the SHA-256 digest of the bearer token as 64 hexadecimal digits
    */
   public OperatorApi(OperatorApiDependencies dependencies, String operatorTokenSha256) {
     this.dependencies = dependencies;
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApiDependencies.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApiDependencies.java
@@ -9,14 +9,14 @@
 import org.agatefield.daemon.placing.LedgerDirectory;
 
 /**
- * What the operators' API shows and drives. Immutable.
+ * The components that {@link OperatorApi} uses. Immutable.
  *
- * @param configuration the configuration in force
- * @param instances the entry instances and the leaving upstreams
- * @param ledgers the ledgers and the replicas
- * @param plannerLease whether this instance is the planner
- * @param monitor counts violations
- * @param drain begins to shut this instance down gracefully; completes when it has begun
+ * @param configuration reads and applies the configuration
+ * @param instances lists the entry instances and the leaving upstreams
+ * @param ledgers lists the ledgers and the replicas
+ * @param plannerLease shows whether this instance is the planner
+ * @param monitor counts invariant violations
+ * @param drain starts a graceful shutdown of this instance; completes when it has started
  */
 public record OperatorApiDependencies(
     ConfigurationKeeper configuration,
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorAuthentication.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorAuthentication.java
@@ -10,7 +10,7 @@
 import org.agatefield.model.ErrorKind;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Lets requests pass that carry the operators' bearer token. Immutable; safe for any thread. */
+/** Refuses requests without the operators' bearer token. Immutable; safe for use by any thread. */
 final class OperatorAuthentication implements Handler<RoutingContext> {
   private static final String SCHEME = "bearer ";
 
@@ -30,7 +30,7 @@
     String token = header.substring(SCHEME.length()).trim();
     byte[] found = DigestUtils.sha256Hex(token).getBytes(StandardCharsets.US_ASCII);
     if (!MessageDigest.isEqual(expectedSha256, found)) {
-      refuse(context, ErrorKind.FORBIDDEN, "the bearer token is not the operators'");
+      refuse(context, ErrorKind.FORBIDDEN, "the bearer token is not the operators' token");
       return;
     }
     context.next();
--- a/daemon/src/main/java/org/agatefield/daemon/operate/StatusRoutes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/StatusRoutes.java
@@ -17,7 +17,10 @@
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 
-/** The operators' requests about what runs and why. Immutable; safe for use by any thread. */
+/**
+ * The operators' endpoints for status, placement explanations and drain. Immutable; safe for use by
+ * any thread.
+ */
 final class StatusRoutes {
   private final OperatorApiDependencies dependencies;
 
--- a/daemon/src/main/java/org/agatefield/daemon/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/package-info.java
@@ -1,2 +1,5 @@
-/** The daemon: the program of every entry instance. This package only wires its parts together. */
+/**
+ * The daemon that runs on every entry instance. This package only creates and connects its
+ * components.
+ */
 package org.agatefield.daemon;
--- a/daemon/src/main/java/org/agatefield/daemon/peers/CompressedJson.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/CompressedJson.java
@@ -14,22 +14,21 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes the documents that instances send each other, compressed unless they are small, and reads
- * them.
+ * Serializes the JSON documents that instances exchange, gzip-compressed unless they are small.
  *
- * <p>Invariant: reading takes no more memory than a document of the largest size. Safe for use by
- * any thread.
+ * <p>Invariant: reading a document expands to no more than the maximum document size. Safe for use
+ * by any thread.
  */
 public final class CompressedJson {
   private static final Logger LOGGER = LogManager.getLogger(CompressedJson.class);
   private static final int MAXIMUM_BYTES = 4_194_304;
-  // Preparing a compression takes more time than so few bytes are worth.
+  // Compressing fewer bytes saves too little to be worth its set-up time.
   private static final int LARGEST_PLAIN_BYTES = 1_024;
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private CompressedJson() {}
 
-  /** Compresses a tree. */
+  /** Serializes and compresses a JSON tree. */
   public static byte[] compress(JsonNode content) {
     return compress(MAPPER, content);
   }
@@ -46,26 +45,26 @@
       }
     } catch (IOException exception) {
       throw new AgatefieldException(
-          ErrorKind.INTERNAL, "the document was not written to memory", exception);
+          ErrorKind.INTERNAL, "the document could not be serialized", exception);
     }
     return bytes.toByteArray();
   }
 
-  /** Returns the tree; empty, with a line in the log, if the bytes hold none. */
+  /** Returns the JSON tree; logs a warning and returns empty if the bytes contain none. */
   public static Optional<JsonNode> decompress(byte[] bytes) {
     try {
       return Optional.of(MAPPER.readTree(expand(bytes)));
     } catch (IOException | AgatefieldException exception) {
-      LOGGER.warn("a peer sent content that is not compressed JSON", exception);
+      LOGGER.warn("received invalid JSON content from a peer", exception);
       return Optional.empty();
     }
   }
 
   /**
-   * Returns the JSON text.
+   * Returns the JSON text, decompressed if necessary.
    *
-   * @throws AgatefieldException if it is larger than a document may be
-   * @throws IOException if the bytes are not compressed text
+   * @throws AgatefieldException if the text exceeds the maximum document size
+   * @throws IOException if the compressed bytes are malformed
    */
   static byte[] expand(byte[] bytes) throws IOException {
     if (!isCompressed(bytes)) {
--- a/daemon/src/main/java/org/agatefield/daemon/peers/ConfigurationSynchronizer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/ConfigurationSynchronizer.java
@@ -17,11 +17,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Fetches a newer configuration from the peer that has it, and gives ours to peers that ask.
+ * Fetches newer configurations from peers and serves the local configuration to peers on request.
  *
- * <p>A generation that is heard of from another region is fetched at once only by that region's few
- * gateways; the others wait a moment for one of their own region. Invariant: at most one request is
- * open. Confined to the event loop, except {@link #answer}.
+ * <p>A generation announced from another region is fetched at once only by the gateways, a few
+ * instances of the local region; the others first wait for it to become available in their own
+ * region. Invariant: at most one request is pending. Confined to the event loop, except {@link
+ * #answer}.
  */
 final class ConfigurationSynchronizer {
   static final int GATEWAYS = 2;
@@ -58,7 +59,7 @@
     this.instances = instances;
   }
 
-  /** The last document that was asked for, compressed once for all who ask. Thread safe. */
+  /** Caches the compressed form of the last requested document. Thread safe. */
   private static final class CompressedDocument {
     private long generation;
     private byte[] bytes;
@@ -72,7 +73,7 @@
     }
   }
 
-  /** Answers a peer's request. */
+  /** Answers a peer's request; returns the document only if it is newer than the peer's. */
   CompletableFuture<PeerMessage> answer(PeerMessage.ConfigurationRequest request) {
     ConfigurationDocument document = source.current();
     Optional<byte[]> bytes =
@@ -83,7 +84,10 @@
         new PeerMessage.ConfigurationAnswer(document.generation(), bytes));
   }
 
-  /** Fetches the document of a generation that a peer has, if it is still newer than ours. */
+  /**
+   * Fetches the document of a generation that a peer has announced, if it is newer than the local
+   * one.
+   */
   void generationObserved(Instance holder, long generation) {
     if (generation <= source.current().generation() || requestPending) {
       return;
@@ -129,7 +133,7 @@
   private void fetched(Instance holder, PeerMessage answer, Throwable failure) {
     requestPending = false;
     if (failure != null) {
-      LOGGER.debug("no configuration from peer={}", holder.id(), failure);
+      LOGGER.debug("configuration request failed peer={}", holder.id(), failure);
       return;
     }
     if (answer instanceof PeerMessage.ConfigurationAnswer configuration) {
@@ -140,14 +144,14 @@
   private void adopt(Instance holder, byte[] bytes) {
     ConfigurationDocument document = DocumentCodec.decode(bytes);
     LOGGER.info(
-        "configuration learnt from peer={} generation={} bytes={}",
+        "configuration fetched from peer={} generation={} bytes={}",
         holder.id(),
         document.generation(),
         bytes.length);
     sink.offer(document);
   }
 
-  /** Returns the number of requests that were made. */
+  /** Returns the number of requests sent. */
   long requests() {
     return requests;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/peers/DemandAggregation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/DemandAggregation.java
@@ -22,13 +22,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Demand goes from each instance to the aggregators of its failure domain; an aggregator of the
- * region adds up the failure domains when it is asked; whoever wants the total asks one aggregator
- * in each region.
+ * Aggregates demand hierarchically: each instance reports to the aggregators of its failure domain,
+ * an aggregator of the region adds up the failure domains on request, and an instance that needs
+ * the total queries one aggregator in each region.
  *
- * <p>Aggregators are the first two instances by rendezvous hash, so that one may fail. Invariant:
- * an instance gets reports from its own failure domain alone, and between regions go sums only.
- * Confined to the event loop, except {@link #total}.
+ * <p>The aggregators are the first two instances by rendezvous hash, which tolerates the failure of
+ * one. Invariant: an instance receives reports only from its own failure domain, and regions
+ * exchange only sums. Confined to the event loop, except {@link #total}.
  */
 final class DemandAggregation {
   static final long INTERVAL_MILLISECONDS = 5_000;
@@ -86,7 +86,10 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Returns the total as it last came; asks for a newer one in the background. */
+  /**
+   * Returns the last known total. It is refreshed in the background for a limited time after each
+   * call.
+   */
   List<DemandSample> total() {
     long now = clock.getAsLong();
     boolean first = now - lastReadTime > REFRESH_AFTER_READ_MILLISECONDS;
@@ -97,12 +100,12 @@
     return total;
   }
 
-  /** Takes a report of an instance of this failure domain. */
+  /** Stores a report from an instance of this failure domain. */
   void received(DemandReport report) {
     domain.received(report, clock.getAsLong());
   }
 
-  /** Answers with the sum for this failure domain or region. */
+  /** Returns the sum for this failure domain or region. */
   CompletableFuture<PeerMessage> answer(DemandRequest request) {
     return switch (request.scope()) {
       case FAILURE_DOMAIN -> CompletableFuture.completedFuture(domainReport());
@@ -158,7 +161,10 @@
     return new DemandReport(self.id(), List.of(), 0, 0);
   }
 
-  /** Asks one aggregator after the other until one covers most of the members; keeps the best. */
+  /**
+   * Queries one aggregator after the other until a report covers more than half of the members;
+   * returns the report that covers the most instances.
+   */
   private CompletableFuture<DemandReport> query(
       List<Instance> aggregators,
       int next,
--- a/daemon/src/main/java/org/agatefield/daemon/peers/DemandSum.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/DemandSum.java
@@ -7,7 +7,7 @@
 import org.agatefield.model.DemandSample;
 import org.agatefield.peer.PeerMessage;
 
-/** Adds up demand reports. Without state. */
+/** Adds up demand reports. Stateless. */
 final class DemandSum {
   private DemandSum() {}
 
@@ -19,7 +19,7 @@
     }
   }
 
-  /** Returns one sample for each deployment and region. */
+  /** Returns the sums of all reports, one sample for each deployment and region. */
   static List<DemandSample> of(Collection<PeerMessage.DemandReport> reports) {
     Map<Key, DemandSample> sums = new TreeMap<>();
     for (PeerMessage.DemandReport report : reports) {
@@ -30,7 +30,7 @@
     return List.copyOf(sums.values());
   }
 
-  /** Returns one report that covers all of {@code reports}. */
+  /** Returns one report that combines all of {@code reports}; its age is that of the oldest. */
   static PeerMessage.DemandReport report(
       String instance, Collection<PeerMessage.DemandReport> reports) {
     long age = 0;
--- a/daemon/src/main/java/org/agatefield/daemon/peers/DocumentCodec.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/DocumentCodec.java
@@ -10,9 +10,10 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Writes configuration documents as compressed JSON and reads them.
+ * Encodes configuration documents as compressed JSON and decodes them.
  *
- * <p>Invariant: fields that this version does not know are passed over. Safe for use by any thread.
+ * <p>Decoding ignores unknown fields, which a newer version may have added. Safe for use by any
+ * thread.
  */
 final class DocumentCodec {
   private static final ObjectMapper MAPPER =
@@ -32,7 +33,9 @@
       return MAPPER.readValue(CompressedJson.expand(bytes), ConfigurationDocument.class);
     } catch (IOException exception) {
       throw new AgatefieldException(
-          ErrorKind.INTERNAL, "the configuration of a peer was not read", exception);
+          ErrorKind.INTERNAL,
+          "the configuration received from a peer cannot be decoded",
+          exception);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/peers/FailureDomainDemand.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/FailureDomainDemand.java
@@ -7,10 +7,11 @@
 import org.agatefield.peer.PeerMessage;
 
 /**
- * The last reports of the instances of a failure domain, as its aggregator holds them.
+ * Stores the latest demand report of each instance of a failure domain, at its aggregator.
  *
- * <p>Invariant: one report for each instance, none older than its retention, so that nothing is
- * counted twice. Not safe for use by several threads; times are monotonic milliseconds.
+ * <p>Invariant: {@link #fresh} returns at most one report for each instance, none received longer
+ * ago than the retention, so that no demand is counted twice. Not safe for use by several threads;
+ * times are monotonic milliseconds.
  */
 final class FailureDomainDemand {
   private static final int MAXIMUM_INSTANCES = 4_096;
@@ -30,7 +31,7 @@
     }
   }
 
-  /** Returns the reports that are still fresh, each with its age. */
+  /** Returns the reports within the retention, with their current ages. */
   List<PeerMessage.DemandReport> fresh(long now) {
     reports.values().removeIf(received -> now - received.time > retentionMilliseconds);
     List<PeerMessage.DemandReport> fresh = new ArrayList<>();
--- a/daemon/src/main/java/org/agatefield/daemon/peers/LeavingUpstreams.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/LeavingUpstreams.java
@@ -12,12 +12,13 @@
 import org.agatefield.store.InstanceList;
 
 /**
- * The upstreams that are leaving: those of the platform's own list, and those that other instances
- * told of.
+ * Tracks the upstreams that are leaving, from the platform's list and from the notices of other
+ * instances.
  *
- * <p>Invariants: a notice that is passed on never holds longer than the one it was taken from; only
- * an instance whose own list says so renews it, so that a notice dies out once all lists agree that
- * the upstream is back. Not safe for use by several threads; times are monotonic milliseconds.
+ * <p>Invariants: a forwarded notice never expires later than the received one; only an instance
+ * whose own list has the upstream as leaving renews a notice, so that notices expire once no list
+ * has it as leaving any more. Not safe for use by several threads; times are monotonic
+ * milliseconds.
  */
 final class LeavingUpstreams {
   static final long NOTICE_MILLISECONDS = 60_000;
@@ -33,10 +34,10 @@
     private int transmissionsLeft;
   }
 
-  /** Takes the platform's list in place of the earlier one. */
+  /** Replaces the platform's list. */
   void listChanged(InstanceList.Snapshot snapshot, long now, int transmissions) {
     listedUpstreams = new TreeSet<>(snapshot.leavingUpstreams());
-    listedUpstreams.addAll(removedUpstreams(snapshot));
+    listedUpstreams.addAll(removedFromList(snapshot));
     for (String name : snapshot.leavingUpstreams()) {
       Notice notice = notices.get(name);
       if (notice == null || notice.deadline - now < NOTICE_MILLISECONDS / 2) {
@@ -46,22 +47,25 @@
   }
 
   /**
-   * Returns the upstreams that were on the list and are not any more; none while the list names no
-   * live upstream, since it is then more likely to be incomplete.
+   * Returns the upstreams that have been removed from the list; none while the list has no live
+   * upstream, since it is then probably incomplete.
    */
-  private Set<String> removedUpstreams(InstanceList.Snapshot snapshot) {
+  private Set<String> removedFromList(InstanceList.Snapshot snapshot) {
     knownUpstreams.addAll(snapshot.liveUpstreams());
     knownUpstreams.addAll(snapshot.leavingUpstreams());
     if (snapshot.liveUpstreams().isEmpty()) {
       return Set.of();
     }
-    Set<String> removedUpstreams = new HashSet<>(knownUpstreams);
-    removedUpstreams.removeAll(snapshot.liveUpstreams());
-    removedUpstreams.removeAll(snapshot.leavingUpstreams());
-    return removedUpstreams;
+    Set<String> removedFromList = new HashSet<>(knownUpstreams);
+    removedFromList.removeAll(snapshot.liveUpstreams());
+    removedFromList.removeAll(snapshot.leavingUpstreams());
+    return removedFromList;
   }
 
-  /** Takes what another instance told of; returns whether anything was new. */
+  /**
+   * Adds the notices of another instance; returns whether any of them was new or extended an
+   * earlier one.
+   */
   boolean receiveNotices(List<PeerMessage.LeavingUpstream> received, long now, int transmissions) {
     boolean changed = false;
     for (PeerMessage.LeavingUpstream upstream : received) {
@@ -82,7 +86,9 @@
     notice.transmissionsLeft = transmissions;
   }
 
-  /** Returns the notices for the next message, those to be sent most often first. */
+  /**
+   * Returns the notices for the next message, those with the most remaining transmissions first.
+   */
   List<PeerMessage.LeavingUpstream> nextNotices(long now) {
     notices.values().removeIf(notice -> notice.deadline <= now);
     List<Map.Entry<String, Notice>> pending = new ArrayList<>();
@@ -102,12 +108,12 @@
     return next;
   }
 
-  /** Returns whether a notice still waits to be sent. */
+  /** Returns whether any notice has transmissions left. */
   boolean hasPendingNotices() {
     return notices.values().stream().anyMatch(notice -> notice.transmissionsLeft > 0);
   }
 
-  /** Returns the names of the upstreams that get no new work. */
+  /** Returns the names of the upstreams that must not get new requests. */
   Set<String> names(long now) {
     Set<String> names = new TreeSet<>(listedUpstreams);
     notices.forEach(
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -18,9 +18,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Carries out what a {@link Membership} decides over a {@link PeerTransport}.
+ * Runs the {@link Membership} protocol over a {@link PeerTransport}.
  *
- * <p>{@link #handle} and {@link #received} are called on one thread; {@link #self()} and {@link
+ * <p>{@link #handle} and {@link #received} must be called on one thread; {@link #self()} and {@link
  * #alive()} are immutable snapshots and safe for use by any thread.
  */
 public final class MembershipDriver {
@@ -34,17 +34,17 @@
   private volatile List<Instance> alive;
   private volatile List<Instance> reachable;
 
-  /** Told of configuration generations that members mention. */
+  /** Receives the configuration generations that members announce. */
   @FunctionalInterface
   public interface GenerationListener {
-    /** A member has a configuration of that generation. */
+    /** Called when a member has announced that it has a configuration of that generation. */
     void observed(Instance holder, long generation);
   }
 
   /**
-   * Creates a driver that knows nobody yet.
+   * Creates a driver that knows no other member yet.
    *
-   * @param attachments what each message carries beside membership
+   * @param attachments the notices of leaving upstreams to add to each message
    */
   public MembershipDriver(
       Instance self,
@@ -62,33 +62,33 @@
     this.membership = new Membership(self, settings, random, now());
   }
 
-  /** Returns this instance as it is now. */
+  /** Returns the current entry of this instance. */
   public Instance self() {
     return self;
   }
 
-  /** Returns every instance believed to be alive, this one first. */
+  /** Returns all instances that are alive or suspected, this one first. */
   public List<Instance> alive() {
     return alive;
   }
 
-  /** Returns every instance that is alive and not suspected, this one first. */
+  /** Returns all instances that are alive and not suspected, this one first. */
   public List<Instance> reachable() {
     return reachable;
   }
 
-  /** Takes one event and carries out what follows. */
+  /** Processes one event and performs the resulting actions. */
   public void handle(MembershipEvent event) {
     try {
       for (MembershipAction action : membership.handle(event, now())) {
         perform(action);
       }
     } catch (RuntimeException exception) {
-      LOGGER.error("membership failed on event={}", event, exception);
+      LOGGER.error("failed to process membership event={}", event, exception);
     }
   }
 
-  /** Takes a step of the protocol that a peer sent. */
+  /** Processes a membership message from a peer. */
   public void received(PeerMessage.Membership step) {
     handle(new MembershipEvent.Received(MembershipTranslator.fromPeer(step)));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipTranslator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipTranslator.java
@@ -6,7 +6,7 @@
 import org.agatefield.membership.MembershipMessage;
 import org.agatefield.peer.PeerMessage;
 
-/** Translates between the membership library's messages and the peer protocol's. No state. */
+/** Converts between the messages of the membership library and of the peer protocol. Stateless. */
 final class MembershipTranslator {
   private MembershipTranslator() {}
 
--- a/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
@@ -36,12 +36,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Keeps this instance in touch with the others: membership, configuration, leaving upstreams and
- * demand.
+ * Exchanges membership, configuration, leaving upstreams and demand with the other instances.
  *
- * <p>Invariants: all state is confined to one event loop of its own; what other threads read are
- * immutable snapshots. An instance that has left never becomes live again. Safe for use by any
- * thread.
+ * <p>Invariants: mutable state is confined to a dedicated event loop; other threads read immutable
+ * snapshots. An instance that has left never becomes live again. Safe for use by any thread.
  */
 public final class PeerCoordinator implements InstanceDirectory, DemandDirectory, AutoCloseable {
   private static final long LIST_INTERVAL_MILLISECONDS = 1_000;
@@ -61,12 +59,12 @@
   private volatile Set<String> leavingNames = Set.of();
 
   /**
-   * Starts to listen for peers; nobody is told of this instance before {@link #join()}.
+   * Opens the peer listener; this instance is not announced to others before {@link #join()}.
    *
-   * @param self this instance; its identifier was never used before
-   * @param seeds addresses from the settings
-   * @param instanceList the platform's lagging list
-   * @throws AgatefieldException if the peer address cannot be listened on
+   * @param self this instance, with an identifier that has never been used before
+   * @param seeds addresses of peers from the settings
+   * @param instanceList the platform's list of instances, which may be out of date
+   * @throws AgatefieldException if the listener for the peer address cannot be opened
    */
   public PeerCoordinator(
       Instance self,
@@ -107,8 +105,8 @@
   }
 
   /**
-   * Makes this instance known to the others, which send callers to it from then on; called once,
-   * when callers are listened to.
+   * Announces this instance to the others, which direct callers to it from then on. Called once,
+   * after the listener for callers is open.
    */
   public void join() {
     transport.listen(new Handler());
@@ -164,7 +162,7 @@
     return demand.total();
   }
 
-  /** Marks this instance as leaving, for good, and tells the others. */
+  /** Marks this instance permanently as leaving and announces it to the others. */
   public void leave() {
     loop.execute(() -> handle(new MembershipEvent.LeaveRequested()));
   }
@@ -228,7 +226,7 @@
     metrics.registerGauge("agatefield.peers." + name, value);
   }
 
-  /** Takes what peers send; called on the event loop. */
+  /** Handles messages and requests from peers; called on the event loop. */
   private final class Handler implements PeerHandler {
     @Override
     public void received(PeerMessage message) {
@@ -251,7 +249,7 @@
         return demand.answer(asked);
       }
       return CompletableFuture.failedFuture(
-          new AgatefieldException(ErrorKind.INTERNAL, "the request has no answer"));
+          new AgatefieldException(ErrorKind.INTERNAL, "unsupported peer request"));
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/peers/RendezvousHash.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/RendezvousHash.java
@@ -8,13 +8,13 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Chooses the same instances everywhere for a purpose, moving as few as possible when some come or
- * go. Without state.
+ * Selects instances for a purpose by rendezvous hashing: all instances make the same choice, and
+ * joining or leaving instances change it as little as possible. Stateless.
  */
 final class RendezvousHash {
   private RendezvousHash() {}
 
-  /** Returns the {@code count} first instances for {@code purpose}, best first. */
+  /** Returns the {@code count} highest-ranked instances for {@code purpose}, highest rank first. */
   static List<Instance> first(Collection<Instance> instances, String purpose, int count) {
     return instances.stream()
         .sorted(
--- a/daemon/src/main/java/org/agatefield/daemon/peers/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The part of a daemon that talks to the other instances: membership, the spreading of the
- * configuration and of leaving upstreams, and the demand tree.
+ * Communication of a daemon with the other instances: membership, distribution of the configuration
+ * and of leaving upstreams, and demand aggregation.
  */
 package org.agatefield.daemon.peers;
--- a/settings/src/main/java/org/agatefield/settings/DaemonSettings.java
+++ b/settings/src/main/java/org/agatefield/settings/DaemonSettings.java
@@ -8,17 +8,18 @@
 import org.agatefield.model.FailureDomain;
 
 /**
- * The checked settings of a daemon. Immutable.
+ * The validated settings of a daemon. Immutable.
  *
- * @param instanceName the start of the instance's identifier; a random part is added at each start
- * @param failureDomain where the instance lies
- * @param listeners where it listens
- * @param platform how it reaches the platform's store and instance list
- * @param peers addresses of other instances to start membership from
- * @param limits bounds of its work
- * @param operatorTokenSha256 the SHA-256 of the operators' bearer token, 64 hexadecimal digits
+ * @param instanceName prefix of the instance's identifier, which gets a random suffix at each start
+ * @param failureDomain the failure domain of the instance
+ * @param listeners the addresses on which it listens
+ * @param platform access to the platform's object store
+ * @param peers addresses of other instances, the seeds for joining the membership
+ * @param limits resource and time limits
+ * @param operatorTokenSha256 the SHA-256 digest of the operators' bearer token as 64 hexadecimal
+ *     digits
  * @param tls certificate and key for all listeners; plain TCP if empty
- * @param log how it logs
+ * @param log the format and level of the log
  */
 public record DaemonSettings(
     String instanceName,
@@ -37,33 +38,34 @@
   }
 
   /**
-   * Where a daemon listens. Immutable.
+   * The listener addresses of a daemon. Immutable.
    *
-   * @param callers callers and operators, over HTTP
-   * @param peers other instances
+   * @param callers the HTTP listener for callers and operators
+   * @param peers the listener for other instances
    */
   public record Listeners(Address callers, Address peers) {}
 
   /**
-   * How a daemon reaches the platform. Immutable.
+   * Access to the platform. Immutable.
    *
-   * @param store the object API
-   * @param storeTimeout how long a call of the store may take before its result is unknown
-   * @param pollInterval how often the store is read although its watch is quiet
+   * @param store address of the platform's object API
+   * @param storeTimeout time limit for store calls, after which the result of a call is unknown
+   * @param pollInterval interval at which the store is read even if its watch reports no change
    */
   public record Platform(Address store, Duration storeTimeout, Duration pollInterval) {}
 
   /**
-   * Bounds of a daemon's work. Immutable.
+   * Resource and time limits of a daemon. Immutable.
    *
-   * @param bodyBytes largest request body
-   * @param headerBytes largest request header
-   * @param queuedRequests most requests that wait for an upstream
-   * @param queuedBytes most bytes of bodies that are held at once
-   * @param defaultDeadline deadline of a request that names none
-   * @param entryTimeToLive how long callers may keep an answer to which instances to use
-   * @param drainTimeout how long a graceful shutdown waits for running requests
-   * @param claimRetention how long outcomes of calls that must not repeat are kept
+   * @param bodyBytes maximum size of a request body
+   * @param headerBytes maximum total size of the request headers
+   * @param queuedRequests maximum number of requests that wait for an upstream
+   * @param queuedBytes maximum total size of request bodies buffered at the same time
+   * @param defaultDeadline deadline of requests that specify none
+   * @param entryTimeToLive how long callers may use an entry answer, which names the instances to
+   *     use
+   * @param drainTimeout maximum time that a graceful shutdown waits for running requests
+   * @param claimRetention how long the outcomes of non-repeatable calls are stored
    * @param orderQuarantine how long an order to an engine that checks no fencing tokens may still
    *     take effect
    */
@@ -79,28 +81,28 @@
       Duration orderQuarantine) {}
 
   /**
-   * TLS for every listener. Immutable.
+   * TLS files for all listeners. Immutable.
    *
    * @param certificate PEM file with the certificate chain
    * @param key PEM file with the private key
-   * @param authority PEM file with the authority that peers' and upstreams' certificates are
-   *     checked against
+   * @param authority PEM file with the certificate authority that must have signed the certificates
+   *     of peers and upstreams
    */
   public record Tls(Path certificate, Path key, Path authority) {}
 
   /**
-   * How a daemon logs. Immutable.
+   * Log settings of a daemon. Immutable.
    *
-   * @param format text for people or one JSON object a line
-   * @param level the lowest level that is written: error, warn, info, debug or trace
+   * @param format plain text or one JSON object per line
+   * @param level the least severe level that is logged: error, warn, info, debug or trace
    */
   public record Log(LogFormat format, String level) {}
 
-  /** The formats of the log. */
+  /** The log formats. */
   public enum LogFormat {
-    /** Text for people. */
+    /** Plain text. */
     TEXT,
-    /** One JSON object a line. */
+    /** One JSON object per line. */
     JSON
   }
 }
--- a/settings/src/main/java/org/agatefield/settings/ForwardingSettings.java
+++ b/settings/src/main/java/org/agatefield/settings/ForwardingSettings.java
@@ -8,17 +8,18 @@
 import org.agatefield.model.FailureDomain;
 
 /**
- * The checked settings of a forwarding daemon. Immutable.
+ * The validated settings of a forwarding daemon. Immutable.
  *
- * @param instanceName the start of the instance's identifier; a random part is added at each start
- * @param failureDomain where the instance lies
- * @param listeners where it listens
- * @param store where the platform's store answers
- * @param peers addresses of other instances to start membership from; may be out of date
+ * @param instanceName prefix of the instance's identifier, which gets a random suffix at each start
+ * @param failureDomain the failure domain of the instance
+ * @param listeners the addresses on which it listens
+ * @param store address of the platform's store
+ * @param peers addresses of other instances, the seeds for joining the membership; may be out of
+ *     date
  * @param regions the region of each failure domain, by the failure domain's name
- * @param terms what the operators promise their callers and upstreams
- * @param quotas how quotas of client accounts are kept
- * @param log how it logs
+ * @param terms guarantees of the operators to callers and upstreams
+ * @param quotas how quotas of client accounts are enforced
+ * @param log the format and level of the log
  */
 public record ForwardingSettings(
     String instanceName,
@@ -37,13 +38,13 @@
   }
 
   /**
-   * Where a forwarding daemon listens. Immutable.
+   * The listener addresses of a forwarding daemon. Immutable.
    *
-   * @param callers requests that are passed on
-   * @param readiness the platform's checks
-   * @param directory callers that ask which instance to use
-   * @param peers other instances
-   * @param metrics whoever reads metrics; nobody if empty
+   * @param callers requests to be forwarded
+   * @param readiness readiness checks of the platform
+   * @param directory requests of callers for the instance to use
+   * @param peers connections from other instances
+   * @param metrics metrics; not served if empty
    */
   public record Listeners(
       Address callers,
@@ -53,15 +54,15 @@
       Optional<Address> metrics) {}
 
   /**
-   * What the operators promise. Immutable.
+   * Guarantees of the operators to callers and upstreams. Immutable.
    *
-   * @param drain how long a leaving runner may still get requests
-   * @param grace how long a process may go on after it was asked to end
-   * @param configurationApply how long a new configuration may take to be in force
-   * @param retryShare repeated requests allowed for each request of a service
-   * @param retryReserve repeated requests of a service allowed beside, over all instances
-   * @param retryWindow the time over which repeats are counted
-   * @param answerTimeToLive how long callers may keep an answer to which instance to use
+   * @param drain maximum time for which a leaving runner may still get requests
+   * @param grace maximum time for which a process may continue after a request to terminate
+   * @param configurationApply maximum time until a new configuration is in force
+   * @param retryShare number of retries allowed per request of a service
+   * @param retryReserve number of retries of a service allowed in addition, over all instances
+   * @param retryWindow the time window in which retries are counted
+   * @param answerTimeToLive how long callers may use an answer that names the instance to use
    */
   public record Terms(
       Duration drain,
@@ -73,20 +74,23 @@
       Duration answerTimeToLive) {}
 
   /**
-   * How quotas of client accounts are kept over all instances. Immutable.
+   * Enforcement of the quotas of client accounts over all instances. Immutable.
    *
-   * @param window the span over which work is counted
-   * @param overage the part of a quota that may be exceeded
-   * @param slack what may be exceeded beside that, in the quota's unit
-   * @param sharing who may grant what
+   * @param window the time window in which usage is counted
+   * @param overage fraction of a quota by which usage may exceed it
+   * @param slack additional amount by which usage may exceed a quota, in the quota's unit
+   * @param sharing how instances share a quota
    */
   public record Quotas(Duration window, double overage, double slack, QuotaSharing sharing) {}
 
-  /** How instances share a quota. */
+  /** The ways in which instances share a quota. */
   public enum QuotaSharing {
-    /** One instance of each region holds it and grants what the others ask for. */
+    /**
+     * One instance in each region holds the quota and grants requests of the other instances from
+     * it.
+     */
     HOLDERS,
-    /** Each instance grants an equal part. */
+    /** Each instance grants requests from an equal share. */
     EQUAL_PARTS
   }
 }
--- a/settings/src/main/java/org/agatefield/settings/ForwardingSettingsReader.java
+++ b/settings/src/main/java/org/agatefield/settings/ForwardingSettingsReader.java
@@ -15,9 +15,9 @@
 import org.agatefield.settings.ForwardingSettings.Terms;
 
 /**
- * Reads the settings of a forwarding daemon from TOML and checks them whole.
+ * Reads and validates the settings of a forwarding daemon in TOML.
  *
- * <p>Invariant: either every rule holds or every fault is reported. Safe for use by any thread.
+ * <p>Reports all faults at once. Safe for use by any thread.
  */
 public final class ForwardingSettingsReader {
   private static final Set<String> TABLES =
@@ -32,7 +32,7 @@
   /**
    * Reads settings.
    *
-   * @param file the name of the file, for the faults
+   * @param file the file name to report in faults
    * @param text the TOML text
    * @throws SettingsException with every fault
    */
--- a/settings/src/main/java/org/agatefield/settings/SettingsException.java
+++ b/settings/src/main/java/org/agatefield/settings/SettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** All faults of a settings file. Immutable. */
+/** Thrown for an invalid settings file; contains all its faults. Immutable. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/settings/src/main/java/org/agatefield/settings/SettingsFault.java
+++ b/settings/src/main/java/org/agatefield/settings/SettingsFault.java
@@ -3,13 +3,13 @@
 import java.util.OptionalInt;
 
 /**
- * One fault of a settings file. Immutable.
+ * A fault in a settings file. Immutable.
  *
  * @param file the name of the file
- * @param line where the key stands, counted from 1; empty if the key is missing
- * @param key the key with its table, such as {@code limits.body_bytes}
- * @param found what stands there
- * @param allowed what may stand there
+ * @param line the line of the key, counted from 1; empty if the key is missing
+ * @param key the key qualified by its table, such as {@code limits.body_bytes}
+ * @param found the value found
+ * @param allowed the values allowed
  */
 public record SettingsFault(
     String file, OptionalInt line, String key, String found, String allowed) {
--- a/settings/src/main/java/org/agatefield/settings/SettingsReader.java
+++ b/settings/src/main/java/org/agatefield/settings/SettingsReader.java
@@ -19,9 +19,9 @@
 import org.agatefield.settings.DaemonSettings.Tls;
 
 /**
- * Reads the settings of a daemon from TOML and checks them whole.
+ * Reads and validates the settings of a daemon in TOML.
  *
- * <p>Invariant: either every rule holds or every fault is reported. Safe for use by any thread.
+ * <p>Reports all faults at once. Safe for use by any thread.
  */
 public final class SettingsReader {
   private static final Set<String> TABLES =
@@ -38,7 +38,7 @@
   /**
    * Reads settings.
    *
-   * @param file the name of the file, for the faults
+   * @param file the file name to report in faults
    * @param text the TOML text
    * @throws SettingsException with every fault
    */
--- a/settings/src/main/java/org/agatefield/settings/SettingsTable.java
+++ b/settings/src/main/java/org/agatefield/settings/SettingsTable.java
@@ -17,10 +17,10 @@
 import org.agatefield.model.Address;
 
 /**
- * Reads the keys of one table of a settings file and gathers its faults.
+ * Reads the keys of one table of a settings file and collects its faults.
  *
- * <p>Invariant: a getter that finds a fault adds it to the shared list and returns a placeholder,
- * so that all faults are found in one pass. For use by one thread.
+ * <p>Invariant: a reading method that finds a fault adds it to the shared list and returns a
+ * placeholder, so that one pass finds all faults. For use by one thread.
  */
 final class SettingsTable {
   private static final Pattern IP_ADDRESS =
@@ -109,7 +109,7 @@
     return value.asDouble();
   }
 
-  /** Reads every key of the table as text, for tables whose keys are names. */
+  /** Reads the values of all keys as text, for tables whose keys are not fixed. */
   Map<String, String> texts(Pattern pattern, String rule) {
     Map<String, String> texts = new HashMap<>();
     node.fieldNames().forEachRemaining(key -> texts.put(key, text(key, pattern, rule)));
@@ -175,7 +175,7 @@
     return addresses;
   }
 
-  /** Adds a fault for every key that no getter asked for. */
+  /** Adds a fault for every key that has not been read. */
   void rejectUnknownKeys() {
     node.fieldNames()
         .forEachRemaining(
--- a/settings/src/main/java/org/agatefield/settings/TomlLineIndex.java
+++ b/settings/src/main/java/org/agatefield/settings/TomlLineIndex.java
@@ -7,9 +7,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Finds the lines of keys in a TOML text, since the parser's tree does not keep them.
+ * Maps keys to their lines in a TOML text, which the parser's tree does not record.
  *
- * <p>It knows table headers and bare keys, which is all that the settings use. Immutable.
+ * <p>Recognizes table headers and bare keys only; the settings use nothing else. Immutable.
  */
 final class TomlLineIndex {
   private static final Pattern TABLE = Pattern.compile("^\\s*\\[\\s*([A-Za-z0-9_.-]+)\\s*]");
--- a/settings/src/main/java/org/agatefield/settings/package-info.java
+++ b/settings/src/main/java/org/agatefield/settings/package-info.java
@@ -1,2 +1,2 @@
-/** TOML settings of a daemon, read and checked whole. */
+/** Reads and validates the TOML settings of daemons. */
 package org.agatefield.settings;
