--- a/configuration/src/test/java/org/agatefield/configuration/ConfigurationDifferenceTest.java
+++ b/configuration/src/test/java/org/agatefield/configuration/ConfigurationDifferenceTest.java
@@ -15,7 +15,7 @@
   }
 
   @Test
-  void addedRemovedAndReplacedPartsAreListedByName() {
+  void addedRemovedAndReplacedElementsAreListedByName() {
     ConfigurationDocument before = SampleDocuments.sample();
     ConfigurationDocument after =
         new ConfigurationDocument(
--- a/configuration/src/test/java/org/agatefield/configuration/ConfigurationReaderTest.java
+++ b/configuration/src/test/java/org/agatefield/configuration/ConfigurationReaderTest.java
@@ -13,14 +13,14 @@
 
 class ConfigurationReaderTest {
   @Test
-  void whatTheWriterWritesTheReaderReadsBack() throws Exception {
+  void readerReadsBackWhatTheWriterWrites() throws Exception {
     ConfigurationDocument document = SampleDocuments.sample();
     assertEquals(document, ConfigurationReader.read(ConfigurationWriter.toText(document)));
     assertEquals(document, ConfigurationReader.read(ConfigurationWriter.toTree(document)));
   }
 
   @Test
-  void fieldsThatAreLeftOutGetTheirDefaults() throws Exception {
+  void omittedFieldsGetTheirDefaults() throws Exception {
     ConfigurationDocument document =
         ConfigurationReader.read(
             """
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void everyFaultOfTheSchemaIsNamedAtOnce() {
+  void allSchemaFaultsAreReportedAtOnce() {
     ObjectNode tree = (ObjectNode) ConfigurationWriter.toTree(SampleDocuments.sample());
     tree.put("generation", -1);
     tree.put("colour", "red");
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void everyFaultBetweenFieldsIsNamedAtOnce() {
+  void allFaultsBetweenFieldsAreReportedAtOnce() {
     ObjectNode tree = (ObjectNode) ConfigurationWriter.toTree(SampleDocuments.sample());
     ((ObjectNode) tree.at("/adapters/0")).put("deployment", "unknown").put("name", "quotes");
     ((ObjectNode) tree.at("/deployments/0/versions/0")).put("weight", 0);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void documentsThatCannotFitAreRefusedWithTheArithmetic() {
+  void documentsThatDoNotFitAreRefusedWithTheCalculation() {
     ObjectNode tree = (ObjectNode) ConfigurationWriter.toTree(SampleDocuments.sample());
     ((ObjectNode) tree.at("/upstreams/1")).put("memoryMegabytes", 10_400);
     ConfigurationFaultsException failure =
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RacingOperators.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RacingOperators.java
@@ -17,8 +17,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Operators who race each other at several instances, over a store and peers whose order a seed
- * decides. Used from one thread.
+ * Simulates concurrent operators at several instances; a seed determines the order of events at the
+ * store and between peers. For use by one thread.
  */
 final class RacingOperators {
   private static final int INSTANCES = 3;
@@ -35,28 +35,28 @@
   private int documents;
 
   /**
-   * Creates a race.
+   * Creates a simulation.
    *
-   * @param adoptAnything whether instances adopt what they hear last, also an earlier document
+   * @param adoptAnything whether instances adopt every document they receive, even an older one
    */
-  RacingOperators(long seed, Set<ScheduledStore.Mechanism> off, boolean adoptAnything) {
+  RacingOperators(long seed, Set<ScheduledStore.Mechanism> disabled, boolean adoptAnything) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    this.store = new ScheduledStore(random, off);
+    this.store = new ScheduledStore(random, disabled);
     this.history = new ConfigurationHistory(store);
     this.adoptAnything = adoptAnything;
     for (int i = 0; i < INSTANCES; i++) {
       ConfigurationInForce instance = new ConfigurationInForce(new Monitor());
-      List<ConfigurationDocument> heard = new ArrayList<>();
-      instance.subscribe(heard::add);
+      List<ConfigurationDocument> received = new ArrayList<>();
+      instance.subscribe(received::add);
       instances.add(instance);
-      adopted.add(heard);
+      adopted.add(received);
     }
   }
 
-  /** Runs to the end and returns every violation. */
+  /** Runs the simulation and returns every violation. */
   List<String> run() {
     for (int i = 0; i < STEPS; i++) {
-      act(random.nextInt(10));
+      performStep(random.nextInt(10));
     }
     while (store.runOne()) {
       continue;
@@ -72,12 +72,12 @@
     return acceptedDocuments().size();
   }
 
-  private void act(int choice) {
+  private void performStep(int choice) {
     int instance = random.nextInt(INSTANCES);
     if (choice == 0) {
       apply(instance);
     } else if (choice == 1) {
-      learnFromStore(instance);
+      offerFromStore(instance);
     } else if (choice == 2) {
       List<ConfigurationDocument> peer = adopted.get(random.nextInt(INSTANCES));
       offer(instance, peer.get(random.nextInt(peer.size())));
@@ -86,7 +86,7 @@
     }
   }
 
-  /** An operator changes what an instance has in force, perhaps long out of date. */
+  /** An operator changes the document in force at an instance, which may be far out of date. */
   private void apply(int instance) {
     documents++;
     ConfigurationDocument base = instances.get(instance).current();
@@ -118,8 +118,8 @@
     answers.put(document, state == RunState.NO ? "refused" : "unknown");
   }
 
-  /** A watch or list reports any version that the object ever had. */
-  private void learnFromStore(int instance) {
+  /** Offers any past or present version of the object, as a delayed watch or list would. */
+  private void offerFromStore(int instance) {
     List<StoredObject> versions = store.versionsOf(ConfigurationApplication.CURRENT);
     if (!versions.isEmpty()) {
       StoredObject version = versions.get(random.nextInt(versions.size()));
@@ -143,9 +143,9 @@
   }
 
   private void checkAdopted() {
-    for (List<ConfigurationDocument> heard : adopted) {
+    for (List<ConfigurationDocument> received : adopted) {
       long generation = -1;
-      for (ConfigurationDocument document : heard) {
+      for (ConfigurationDocument document : received) {
         if (document.generation() <= generation) {
           violations.add("generation " + document.generation() + " after " + generation);
         }
@@ -158,15 +158,16 @@
     List<ConfigurationDocument> accepted = acceptedDocuments();
     answers.forEach(
         (document, answer) -> {
-          boolean took = accepted.contains(document.withGeneration(document.generation() + 1));
-          boolean truthful = answer.equals("unknown") || took == answer.equals("accepted");
+          boolean isAccepted =
+              accepted.contains(document.withGeneration(document.generation() + 1));
+          boolean truthful = answer.equals("unknown") || isAccepted == answer.equals("accepted");
           if (!truthful) {
-            violations.add(answer + " but " + took + ": " + document);
+            violations.add(answer + " but " + isAccepted + ": " + document);
           }
         });
   }
 
-  /** Each accepted document replaced the one that it was written against. */
+  /** Checks that each accepted document replaced the one that it was written against. */
   private void checkSuccession() {
     long generation = 0;
     for (ConfigurationDocument document : acceptedDocuments()) {
@@ -177,7 +178,7 @@
     }
   }
 
-  /** Counts what the instance itself reports. */
+  /** Records the violations that the instances report. */
   private final class Monitor implements InvariantMonitor {
     @Override
     public void check(Promise promise, boolean holds, Supplier<String> evidence) {
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RacingOperatorsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RacingOperatorsTest.java
@@ -19,35 +19,35 @@
   private static final int SEEDS = 200;
 
   @Property(tries = 500, seed = "42")
-  void acceptedDocumentsAreNeverUndoneAndAnswersAreTrue(@ForAll long seed) {
+  void acceptedDocumentsAreNeverUndoneAndAnswersAreCorrect(@ForAll long seed) {
     assertEquals(List.of(), new RacingOperators(seed, Set.of(), false).run());
   }
 
   @Test
-  void racesHaveDocumentsAccepted() {
+  void simulationsAcceptDocuments() {
     int accepted = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
-      RacingOperators race = new RacingOperators(seed, Set.of(), false);
-      race.run();
-      accepted += race.accepted();
+      RacingOperators simulation = new RacingOperators(seed, Set.of(), false);
+      simulation.run();
+      accepted += simulation.accepted();
     }
-    assertTrue(accepted > 2 * SEEDS, "only " + accepted);
+    assertTrue(accepted > 2 * SEEDS, "accepted documents: " + accepted);
   }
 
   @ParameterizedTest
   @EnumSource(Mechanism.class)
-  void withoutAnyOneMechanismSomeRaceFails(Mechanism mechanism) {
-    assertTrue(failures(EnumSet.of(mechanism), false) > 0, mechanism + " prevents nothing");
+  void disablingAnyMechanismCausesViolations(Mechanism mechanism) {
+    assertTrue(failures(EnumSet.of(mechanism), false) > 0, mechanism + " prevented no violation");
   }
 
   @Test
-  void adoptingWhateverComesLastFails() {
+  void adoptingEveryReceivedDocumentCausesViolations() {
     assertTrue(failures(Set.of(), true) > 0);
   }
 
-  private static long failures(Set<Mechanism> off, boolean adoptAnything) {
+  private static long failures(Set<Mechanism> disabled, boolean adoptAnything) {
     return LongStream.range(0, SEEDS)
-        .filter(seed -> !new RacingOperators(seed, off, adoptAnything).run().isEmpty())
+        .filter(seed -> !new RacingOperators(seed, disabled, adoptAnything).run().isEmpty())
         .count();
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ScheduledStore.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ScheduledStore.java
@@ -22,31 +22,31 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A store in memory whose calls take effect and are answered in an order that a seed decides.
+ * An in-memory store whose calls take effect and complete in an order that a seed determines.
  *
- * <p>Answers are lost, with or without effect, and effects may come long after the answer was given
- * up; reads may lag. Used from one thread.
+ * <p>Answers are lost, with or without effect, and calls may take effect long after they were
+ * reported as unknown; reads may return old versions. For use by one thread.
  */
 final class ScheduledStore implements ObjectStore, Executor {
-  /** What a test may switch off. */
+  /** The mechanisms that a test may disable. */
   enum Mechanism {
     /** Updates are conditional on the version. */
     CONDITIONAL_UPDATE,
-    /** Objects keep the identifiers of the writes that made them. */
+    /** Objects record the identifiers of the writes that created them. */
     WRITE_IDENTIFIERS
   }
 
   private static final int IDENTIFIERS = 16;
 
   private final UniformRandomProvider random;
-  private final Set<Mechanism> off;
+  private final Set<Mechanism> disabled;
   private final Map<ObjectKey, List<StoredObject>> versions = new HashMap<>();
   private final List<Runnable> pending = new ArrayList<>();
   private int lastVersion;
 
-  ScheduledStore(UniformRandomProvider random, Set<Mechanism> off) {
+  ScheduledStore(UniformRandomProvider random, Set<Mechanism> disabled) {
     this.random = random;
-    this.off = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
+    this.disabled = disabled.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(disabled);
   }
 
   /** Runs one pending call or answer, chosen by the seed; returns whether there was one. */
@@ -76,14 +76,14 @@
   }
 
   private StoredObject read(ObjectKey key) {
-    List<StoredObject> known = versionsOf(key);
+    List<StoredObject> history = versionsOf(key);
     int lag = random.nextInt(5) == 0 ? random.nextInt(3) : 0;
-    int position = known.size() - 1 - lag;
+    int position = history.size() - 1 - lag;
     if (position < 0) {
       throw new StoreException(StoreFailure.NOT_FOUND, key.toString());
     }
-    StoredObject found = known.get(position);
-    return off.contains(Mechanism.WRITE_IDENTIFIERS)
+    StoredObject found = history.get(position);
+    return disabled.contains(Mechanism.WRITE_IDENTIFIERS)
         ? new StoredObject(key, found.resourceVersion(), List.of(), found.content())
         : found;
   }
@@ -116,40 +116,42 @@
 
   private StoredObject put(
       ObjectKey key, Optional<StoredObject> previous, String identifier, JsonNode content) {
-    List<StoredObject> known = versions.computeIfAbsent(key, created -> new ArrayList<>());
+    List<StoredObject> history = versions.computeIfAbsent(key, created -> new ArrayList<>());
     Optional<StoredObject> current =
-        known.isEmpty() ? Optional.empty() : Optional.of(known.get(known.size() - 1));
+        history.isEmpty() ? Optional.empty() : Optional.of(history.get(history.size() - 1));
     boolean holds =
         current
             .map(StoredObject::resourceVersion)
             .equals(previous.map(StoredObject::resourceVersion));
-    if (!holds && !off.contains(Mechanism.CONDITIONAL_UPDATE)) {
+    if (!holds && !disabled.contains(Mechanism.CONDITIONAL_UPDATE)) {
       throw new StoreException(
           previous.isEmpty() ? StoreFailure.ALREADY_EXISTS : StoreFailure.CONFLICT, "changed");
     }
     List<String> identifiers = new ArrayList<>(List.of(identifier));
     current.ifPresent(each -> identifiers.addAll(each.writeIdentifiers()));
-    List<String> kept = identifiers.subList(0, Math.min(IDENTIFIERS, identifiers.size()));
-    StoredObject written = new StoredObject(key, Integer.toString(++lastVersion), kept, content);
-    known.add(written);
+    List<String> recentIdentifiers =
+        identifiers.subList(0, Math.min(IDENTIFIERS, identifiers.size()));
+    StoredObject written =
+        new StoredObject(key, Integer.toString(++lastVersion), recentIdentifiers, content);
+    history.add(written);
     return written;
   }
 
-  /** What a call does when it takes effect. */
+  /** The effect of a call. */
   private interface Effect {
-    StoredObject take();
+    StoredObject apply();
   }
 
   private static void complete(CompletableFuture<StoredObject> answer, Effect effect) {
     try {
-      answer.complete(effect.take());
+      answer.complete(effect.apply());
     } catch (StoreException exception) {
       answer.completeExceptionally(exception);
     }
   }
 
   private static void fail(CompletableFuture<StoredObject> answer, StoreFailure failure) {
-    answer.completeExceptionally(new StoreException(failure, "a fault of the test"));
+    answer.completeExceptionally(new StoreException(failure, "injected by the test"));
   }
 
   @Override
--- a/daemon/src/test/java/org/agatefield/daemon/core/UpstreamKeysTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/core/UpstreamKeysTest.java
@@ -11,7 +11,7 @@
 
 class UpstreamKeysTest {
   @Property(tries = 1000, seed = "42")
-  void sameKeyOfTwoCallersIsDifferentForTheService(
+  void keysOfDifferentCallersDifferAtTheService(
       @ForAll @CharRange(from = 'a', to = 'c') @StringLength(min = 1, max = 3) String first,
       @ForAll @CharRange(from = 'a', to = 'c') @StringLength(min = 1, max = 3) String second,
       @ForAll @CharRange(from = ':', to = ';') @StringLength(min = 1, max = 4) String key,
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void keyWithoutConfiguredCallersIsPassedOnAsItCame() {
+  void keyIsForwardedUnchangedWithoutConfiguredCallers() {
     assertEquals("visit-12", UpstreamKeys.of("anonymous", "visit-12"));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/BoundedAdapterLoaderTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/BoundedAdapterLoaderTest.java
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void loadsOfOneAdapterOnOneRunnerAreJoined() {
+  void concurrentLoadsOfOneAdapterOnOneRunnerShareOneOrder() {
     try (DispatchFixture fixture = new DispatchFixture(HOME)) {
       BoundedAdapterLoader loader = loader(fixture);
       Upstream runner = fixture.document.upstreams().get(0);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void noMoreLoadsAreInFlightThanTheShareOfTheInstance() {
+  void loadsInFlightDoNotExceedTheShareOfTheInstance() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME, HOME)) {
       BoundedAdapterLoader loader = loader(fixture);
       List<Upstream> runners = fixture.document.upstreams();
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void engineThatStartedAgainIsAskedAgain() {
+  void restartedEngineGetsAnotherOrder() {
     try (DispatchFixture fixture = new DispatchFixture(HOME)) {
       BoundedAdapterLoader loader = loader(fixture);
       Upstream runner = fixture.document.upstreams().get(0);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/AnswerMemoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/AnswerMemoryTest.java
@@ -14,43 +14,46 @@
 
   private final AnswerMemory memory = new AnswerMemory();
 
-  /** Lets answers grow in turn until none may grow any more; returns the most held at once. */
-  private long growTogether(int answers) {
+  /**
+   * Grows answers in turn until each has been refused more memory; returns the peak of the held
+   * bytes.
+   */
+  private long growConcurrently(int answers) {
     List<AnswerMemory.Share> growing = new ArrayList<>();
     for (int number = 0; number < answers; number++) {
       growing.add(memory.share());
     }
-    long most = 0;
+    long peakBytes = 0;
     for (int size = MEBIBYTE; !growing.isEmpty(); size += MEBIBYTE) {
       int holds = size;
-      growing.removeIf(share -> endsAt(share, holds));
-      most = Math.max(most, memory.heldBytes());
+      growing.removeIf(share -> isRefusedAt(share, holds));
+      peakBytes = Math.max(peakBytes, memory.heldBytes());
     }
-    return most;
+    return peakBytes;
   }
 
-  private static boolean endsAt(AnswerMemory.Share share, int holds) {
-    boolean ends = !share.hold(holds);
-    if (ends) {
+  private static boolean isRefusedAt(AnswerMemory.Share share, int holds) {
+    boolean refused = !share.hold(holds);
+    if (refused) {
       share.release();
     }
-    return ends;
+    return refused;
   }
 
   @Test
-  void oneAnswerWithoutEndIsGivenUpAtItsBound() {
-    assertTrue(growTogether(1) <= 16 * MEBIBYTE);
+  void oneEndlessAnswerIsRefusedMemoryAtItsLimit() {
+    assertTrue(growConcurrently(1) <= 16 * MEBIBYTE);
     assertEquals(0, memory.heldBytes());
   }
 
   @Test
-  void manyAnswersWithoutEndStayWithinTheTotal() {
-    assertTrue(growTogether(100) <= 24L * MEBIBYTE);
+  void manyEndlessAnswersStayWithinTheTotalLimit() {
+    assertTrue(growConcurrently(100) <= 24L * MEBIBYTE);
     assertEquals(0, memory.heldBytes());
   }
 
   @Test
-  void answersOfUsualSizeFindRoomBesideLargeOnes() {
+  void answersOfUsualSizeFitBesideLargeOnes() {
     AnswerMemory.Share first = memory.share();
     AnswerMemory.Share second = memory.share();
     assertTrue(first.hold(15 * MEBIBYTE));
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControlTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControlTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A runner over sockets whose answers and reports are late. */
+/** Tests orders to a runner over HTTP whose answers and reports are delayed. */
 class EngineControlTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final long SLOW_ANSWER_MILLISECONDS = 300;
-  private static final long REPORT_AGE_MILLISECONDS = 250; // some hundred, by the pages
+  private static final long REPORT_AGE_MILLISECONDS = 250; // reports may be some hundred ms old
   private static final int ACCEPTED = 202;
   private static final int CONFLICT = 409;
 
@@ -49,7 +49,7 @@
   private volatile long answerDelay = 1;
   private EngineControl control;
 
-  /** Writes orders as their model's name; the report is handed over beside the wire. */
+  /** Encodes orders as text; decodes each report as the one that the test has set. */
   private final class Dialect implements RunnerDialect {
     @Override
     public void writeTerms(SendTerms terms, MultiMap headers) {}
@@ -100,7 +100,7 @@
     }
   }
 
-  private static final class Granted implements EngineControl.Orders {
+  private static final class GrantedLease implements EngineControl.Orders {
     @Override
     public Optional<LeaseGrant> grant() {
       return Optional.of(new LeaseGrant(1, Long.MAX_VALUE));
@@ -151,11 +151,15 @@
         () -> {
           control =
               new EngineControl(
-                  vertx, vertx.createHttpClient(), new Dialect(), new Granted(), new LateOrders());
+                  vertx,
+                  vertx.createHttpClient(),
+                  new Dialect(),
+                  new GrantedLease(),
+                  new LateOrders());
           control.update(entry, true, 8);
           return null;
         });
-    await().atMost(PATIENCE).until(() -> ticked(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(control::isReady));
   }
 
   @AfterEach
@@ -178,17 +182,17 @@
             });
   }
 
-  private <T> T onLoop(Supplier<T> work) {
+  private <T> T onLoop(Supplier<T> task) {
     CompletableFuture<T> done = new CompletableFuture<>();
-    context.runOnContext(run -> done.complete(work.get()));
+    context.runOnContext(run -> done.complete(task.get()));
     return done.join();
   }
 
-  private <T> T ticked(Supplier<T> question) {
+  private <T> T afterTick(Supplier<T> query) {
     return onLoop(
         () -> {
           control.tick();
-          return question.get();
+          return query.get();
         });
   }
 
@@ -201,31 +205,32 @@
   }
 
   @Test
-  void modelWhoseOrderWasAnsweredLateStaysHeldWhileReportsAreOlderThanTheAnswer() {
+  void modelOfDelayedOrderStaysPossiblyHeldWhileReportsAreOlderThanTheAnswer() {
     answerDelay = SLOW_ANSWER_MILLISECONDS;
     final long begun = System.nanoTime();
     begin("a");
-    await().atMost(PATIENCE).until(() -> orders.size() == 1);
+    await().atMost(TIMEOUT).until(() -> orders.size() == 1);
     long until =
         begun + Duration.ofMillis(SLOW_ANSWER_MILLISECONDS + REPORT_AGE_MILLISECONDS).toNanos();
     while (System.nanoTime() < until) {
-      assertTrue(ticked(control::possiblyHeld).contains("a"), "the report is older than the order");
+      assertTrue(
+          afterTick(control::possiblyHeld).contains("a"), "the report is older than the order");
     }
     report = report(1, false, "a");
-    await().atMost(PATIENCE).until(() -> ticked(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(control::isReady));
     assertEquals(Set.of("a"), onLoop(control::possiblyHeld));
   }
 
   @Test
-  void loadThatAnotherOrderOvertookIsPlannedAnew() {
+  void loadOvertakenByAnotherOrderIsDroppedForNewPlanning() {
     orderStatus = CONFLICT;
     begin("b");
-    await().atMost(PATIENCE).until(() -> orders.size() == 1);
+    await().atMost(TIMEOUT).until(() -> orders.size() == 1);
     report = report(1, true);
     orderStatus = ACCEPTED;
-    await().pollDelay(Duration.ofSeconds(1)).atMost(PATIENCE).until(() -> ticked(() -> true));
+    await().pollDelay(Duration.ofSeconds(1)).atMost(TIMEOUT).until(() -> afterTick(() -> true));
     report = report(1, false, "other");
-    await().atMost(PATIENCE).until(() -> ticked(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(control::isReady));
     assertEquals(1, orders.size(), orders.toString());
     assertEquals(Set.of("other"), onLoop(control::possiblyHeld));
   }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void bytesThatAreReadInTimeHaveJustCome() {
+  void bytesReadWithoutDelayHaveJustArrived() {
     delay.expectAt(PERIOD);
     fire(PERIOD);
     fire(2 * PERIOD + EventLoopDelay.TOLERATED_MILLISECONDS);
@@ -26,14 +26,14 @@
   }
 
   @Test
-  void bytesThatAreReadBeforeAnOverdueTimerMayHaveWaitedSinceItWasDue() {
+  void bytesReadBeforeAnOverdueTimerMayHaveArrivedWhenItWasDue() {
     delay.expectAt(PERIOD);
     assertTrue(delay.isBehind(2_000));
     assertEquals(PERIOD, delay.earliestArrival(2_000));
   }
 
   @Test
-  void connectionsThatAreOpenedAfterTheStandstillMayBringBytesFromBeforeIt() {
+  void connectionsAcceptedAfterTheStallMayCarryBytesFromBeforeIt() {
     delay.expectAt(PERIOD);
     fire(2_000);
     assertEquals(PERIOD, delay.earliestArrival(2_050));
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void lastingOverloadDoesNotMakeRequestsOlderThanTwoFirings() {
+  void sustainedOverloadDatesRequestsBackByAtMostTwoFirings() {
     delay.expectAt(PERIOD);
     long now = 0;
     for (int firing = 0; firing < 50; firing++) {
--- a/daemon/src/test/java/org/agatefield/daemon/forward/HeldQuotasTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/HeldQuotasTest.java
@@ -33,39 +33,40 @@
 import org.agatefield.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** A fleet in two regions on simulated time, with cuts, restarts and delays. */
+/** Simulates a fleet in two regions with network partitions, restarts and delays. */
 class HeldQuotasTest {
   private static final int INSTANCES = 20;
   private static final double REQUEST_TOKENS = 2_400;
   private static final double WINDOW_SECONDS = 8;
   private static final double OVERAGE = 0.1;
   private static final double SLACK = 17_000;
-  private static final long BELIEF_MILLISECONDS = 2_500; // until a lost instance is noticed
-  private static final long REGION_MILLISECONDS = 30;
-  private static final long NEAR_MILLISECONDS = 2;
+  private static final long FAILURE_DETECTION_MILLISECONDS =
+      2_500; // until an unreachable instance is excluded
+  private static final long CROSS_REGION_DELAY_MILLISECONDS = 30;
+  private static final long LOCAL_DELAY_MILLISECONDS = 2;
 
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
   private final List<Grant> grants = new ArrayList<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> partitioned = new HashSet<>();
   private long now;
   private long scheduled;
   private int refused;
-  private double unusedShare; // of the granted requests that are refused for another reason
-  private boolean withinQuota; // whether the account asks for no more than it may
-  private QuotaBucket quota; // what the account may ask for, without any tolerance
+  private double unusedShare; // of the granted requests, later refused for another reason
+  private boolean withinQuota; // whether the account's requests stay within its quota
+  private QuotaBucket quota; // the account's quota without tolerance
 
-  private record Event(long at, long number, Runnable work) {}
+  private record Event(long at, long number, Runnable task) {}
 
   private record Grant(long at, double tokens) {}
 
-  /** One instance; another life of it is another member under the same name. */
+  /** An instance; after a restart it is another member with the same name. */
   private final class Member implements HeldQuotas.Fleet {
     private final Instance self;
     private final HeldQuotas quotas;
     private ClientAccount account;
-    private final Map<String, Long> lostAt = new LinkedHashMap<>();
+    private final Map<String, Long> unreachableSince = new LinkedHashMap<>();
     private final FleetSize size = new FleetSize(() -> answering().size());
     private List<Instance> answering = List.of();
 
@@ -74,7 +75,7 @@
       this.account = account;
       this.quotas =
           new HeldQuotas(
-              (delay, work) -> schedule(delay, whileAlive(work)),
+              (delay, task) -> schedule(delay, ifStillRunning(task)),
               () -> now,
               this,
               new QuotaTolerance(WINDOW_SECONDS, OVERAGE, SLACK),
@@ -82,11 +83,11 @@
               () -> new AccountTable(List.of(this.account)));
     }
 
-    /** Work of a process ends with it. */
-    private Runnable whileAlive(Runnable work) {
+    /** Skips the task if the process has ended. */
+    private Runnable ifStillRunning(Runnable task) {
       return () -> {
         if (members.get(self.id()) == this) {
-          work.run();
+          task.run();
         }
       };
     }
@@ -96,34 +97,35 @@
       return self;
     }
 
-    /** Believes in those that are reached, and for a while in those that no longer are. */
+    /** Returns the reachable instances, and unreachable ones until their failure is detected. */
     @Override
     public List<Instance> answering() {
-      List<Instance> seen = new ArrayList<>();
+      List<Instance> presumedAlive = new ArrayList<>();
       for (Member other : members.values()) {
         if (other == this || reaches(self.id(), other.self.id())) {
-          lostAt.remove(other.self.id());
-          seen.add(other.self);
-        } else if (now - lostAt.computeIfAbsent(other.self.id(), id -> now) < BELIEF_MILLISECONDS) {
-          seen.add(other.self);
+          unreachableSince.remove(other.self.id());
+          presumedAlive.add(other.self);
+        } else if (now - unreachableSince.computeIfAbsent(other.self.id(), id -> now)
+            < FAILURE_DETECTION_MILLISECONDS) {
+          presumedAlive.add(other.self);
         }
       }
-      if (!seen.equals(answering)) {
-        answering = seen;
+      if (!presumedAlive.equals(answering)) {
+        answering = presumedAlive;
       }
       return answering;
     }
 
     @Override
     public boolean isIsolated() {
-      return cut.contains(self.id()) && now - cutAt > 1_500;
+      return partitioned.contains(self.id()) && now - partitionedAt > 1_500;
     }
 
     @Override
     public void send(Instance to, PeerMessage message) {
       if (reaches(self.id(), to.id())) {
         schedule(
-            way(self, to),
+            networkDelay(self, to),
             () -> members.get(to.id()).quotas.heard((PeerMessage.QuotaReturn) message));
       }
     }
@@ -133,16 +135,19 @@
       CompletableFuture<PeerMessage> answered = new CompletableFuture<>();
       schedule(
           limit,
-          whileAlive(() -> answered.completeExceptionally(new TimeoutException("no answer"))));
-      long way = way(self, to);
+          ifStillRunning(() -> answered.completeExceptionally(new TimeoutException("no answer"))));
+      long networkDelay = networkDelay(self, to);
       if (reaches(self.id(), to.id())) {
-        schedule(way, () -> deliver(to, message, answered, way));
+        schedule(networkDelay, () -> deliver(to, message, answered, networkDelay));
       }
       return answered;
     }
 
     private void deliver(
-        Instance to, PeerMessage message, CompletableFuture<PeerMessage> answered, long way) {
+        Instance to,
+        PeerMessage message,
+        CompletableFuture<PeerMessage> answered,
+        long networkDelay) {
       Member receiver = members.get(to.id());
       if (receiver == null || !reaches(self.id(), to.id())) {
         return;
@@ -153,8 +158,8 @@
           .thenAccept(
               answer ->
                   schedule(
-                      way,
-                      whileAlive(
+                      networkDelay,
+                      ifStillRunning(
                           () -> {
                             if (reaches(self.id(), to.id())) {
                               answered.complete(answer);
@@ -163,26 +168,26 @@
     }
   }
 
-  private long cutAt;
+  private long partitionedAt;
 
-  private static long way(Instance from, Instance to) {
-    boolean near = from.failureDomain().region().equals(to.failureDomain().region());
-    return near ? NEAR_MILLISECONDS : REGION_MILLISECONDS;
+  private static long networkDelay(Instance from, Instance to) {
+    boolean sameRegion = from.failureDomain().region().equals(to.failureDomain().region());
+    return sameRegion ? LOCAL_DELAY_MILLISECONDS : CROSS_REGION_DELAY_MILLISECONDS;
   }
 
   private boolean reaches(String from, String to) {
-    return from.equals(to) || (!cut.contains(from) && !cut.contains(to));
+    return from.equals(to) || (!partitioned.contains(from) && !partitioned.contains(to));
   }
 
-  private void schedule(long delay, Runnable work) {
-    events.add(new Event(now + delay, scheduled++, work));
+  private void schedule(long delay, Runnable task) {
+    events.add(new Event(now + delay, scheduled++, task));
   }
 
   private void runUntil(long end) {
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event next = events.poll();
       now = Math.max(now, next.at());
-      next.work().run();
+      next.task().run();
     }
     now = end;
   }
@@ -201,7 +206,7 @@
     for (int index = 0; index < INSTANCES; index++) {
       startMember(index, account);
     }
-    schedule(HeldQuotas.KEEP_MILLISECONDS, this::keepAll);
+    schedule(HeldQuotas.KEEP_MILLISECONDS, this::maintainAll);
     runUntil(15_000);
   }
 
@@ -212,13 +217,13 @@
     members.put(instance.id(), new Member(instance, account));
   }
 
-  private void keepAll() {
+  private void maintainAll() {
     members.values().forEach(member -> member.size.look(now));
     members.values().forEach(member -> member.quotas.keep(now));
-    schedule(HeldQuotas.KEEP_MILLISECONDS, this::keepAll);
+    schedule(HeldQuotas.KEEP_MILLISECONDS, this::maintainAll);
   }
 
-  private void ask(ClientAccount account, Random random, Optional<Integer> region) {
+  private void sendRequest(ClientAccount account, Random random, Optional<Integer> region) {
     if (withinQuota && !quota.tryTake(REQUEST_TOKENS, now)) {
       return;
     }
@@ -251,14 +256,19 @@
 
   /** Sends requests at random moments around a rate. */
   private void traffic(
-      ClientAccount account, double perSecond, long forMilliseconds, Random random, int region) {
-    long end = now + forMilliseconds;
+      ClientAccount account,
+      double perSecond,
+      long durationMilliseconds,
+      Random random,
+      int region) {
+    long end = now + durationMilliseconds;
     double at = now;
     while (at < end) {
       at += -Math.log(1 - random.nextDouble()) / perSecond * 1_000;
       long delay = (long) at - now;
       schedule(
-          delay, () -> ask(account, random, region < 0 ? Optional.empty() : Optional.of(region)));
+          delay,
+          () -> sendRequest(account, random, region < 0 ? Optional.empty() : Optional.of(region)));
     }
   }
 
@@ -272,18 +282,20 @@
           last++) {
         sum += grants.get(last).tokens();
       }
-      assertTrue(sum <= allowed, sum + " of " + allowed + " from " + grants.get(first).at());
+      assertTrue(
+          sum <= allowed,
+          sum + " granted, allowed are " + allowed + ", from " + grants.get(first).at());
     }
   }
 
   @Property(tries = 150, seed = "4711")
-  void floodedQuotaHoldsOverCutsAndRestartsOfSomeOrAll(
+  void quotaHoldsUnderOverloadDuringPartitionsAndRestarts(
       @ForAll @IntRange(max = 1_000_000) int seed,
       @ForAll @IntRange(min = 1, max = 35) int requestsPerSecond) {
     members.clear();
     events.clear();
     grants.clear();
-    cut.clear();
+    partitioned.clear();
     now = 0;
     Random random = new Random(seed);
     unusedShare = random.nextInt(3) * 0.3;
@@ -292,10 +304,10 @@
     startFleet(account);
     traffic(account, 4 * requestsPerSecond, 30_000, random, -1);
     runUntil(now + random.nextInt(5_000));
-    cutAt = now;
-    members.keySet().stream().filter(id -> random.nextDouble() < 0.35).forEach(cut::add);
+    partitionedAt = now;
+    members.keySet().stream().filter(id -> random.nextDouble() < 0.35).forEach(partitioned::add);
     runUntil(now + 12_000);
-    cut.clear();
+    partitioned.clear();
     runUntil(now + random.nextInt(4_000));
     double restarted = random.nextBoolean() ? 1 : 0.2;
     for (int index = 0; index < INSTANCES; index++) {
@@ -308,7 +320,7 @@
   }
 
   @Test
-  void accountBelowItsQuotaIsRefusedLessThanOnceInThousand() {
+  void accountBelowItsQuotaIsRefusedLessThanOncePerThousandRequests() {
     withinQuota = true;
     double requestsPerSecond = 4_200 / REQUEST_TOKENS;
     ClientAccount account = account(4_200);
@@ -322,7 +334,7 @@
   }
 
   @Test
-  void tokensOfRequestsThatWereNotRunServeOthers() {
+  void tokensOfRequestsThatDidNotRunAreReused() {
     double perSecond = 10 * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
     startFleet(account);
@@ -334,7 +346,7 @@
   }
 
   @Test
-  void holderThatLeavesHandsItsTokensToTheNextOne() {
+  void leavingHolderTransfersItsTokensToTheNextHolder() {
     ClientAccount account = account(4_200);
     startFleet(account);
     List<Member> holders =
@@ -346,14 +358,14 @@
     runUntil(now + 100);
     holders.forEach(holder -> members.remove(holder.self.id()));
     for (int request = 0; request < 4; request++) {
-      ask(account, new Random(request), Optional.empty());
+      sendRequest(account, new Random(request), Optional.empty());
     }
     runUntil(now + 400);
     assertEquals(4, grants.size(), refused + " refused");
   }
 
   @Test
-  void lowerQuotaHoldsOneWindowAfterEachInstanceKnowsIt() {
+  void loweredQuotaHoldsOneWindowAfterAllInstancesHaveIt() {
     ClientAccount before = account(35 * REQUEST_TOKENS);
     startFleet(before);
     ClientAccount after = account(2 * REQUEST_TOKENS);
@@ -367,7 +379,7 @@
   }
 
   @Test
-  void partOfRegionThatUsesNoneReachesTheOtherWithinSecond() {
+  void unusedShareOfOneRegionServesTheOtherWithinOneSecond() {
     withinQuota = true;
     double perSecond = 10 * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
@@ -378,7 +390,7 @@
   }
 
   @Test
-  void equalPartsRefuseAnAccountBelowItsQuota() {
+  void equalSharesRefuseAnAccountBelowItsQuota() {
     ClientAccount account = account(4_200);
     FixedShareQuotas quotas =
         new FixedShareQuotas(
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LateOrdersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LateOrdersTest.java
@@ -6,43 +6,43 @@
 import org.junit.jupiter.api.Test;
 
 class LateOrdersTest {
-  private final LateOrders late = new LateOrders();
+  private final LateOrders orders = new LateOrders();
 
   @Test
-  void orderWithoutAnswerCountsInTheNextLifeUntilItCanNoLongerTakeEffect() {
-    late.sent("m1", 1_000);
-    assertEquals(Set.of(), late.models(1_000));
-    late.newLife();
-    assertEquals(Set.of("m1"), late.models(1_000 + LateOrders.LATE_MILLISECONDS));
-    assertEquals(Set.of(), late.models(1_001 + LateOrders.LATE_MILLISECONDS));
+  void unansweredOrderCountsAfterRestartUntilItCanNoLongerTakeEffect() {
+    orders.sent("m1", 1_000);
+    assertEquals(Set.of(), orders.models(1_000));
+    orders.newLife();
+    assertEquals(Set.of("m1"), orders.models(1_000 + LateOrders.LATE_MILLISECONDS));
+    assertEquals(Set.of(), orders.models(1_001 + LateOrders.LATE_MILLISECONDS));
   }
 
   @Test
-  void adaptersAreCountedApartFromModels() {
-    late.sent("m1/a1", 0);
-    late.sent("m2", 0);
-    late.newLife();
-    assertEquals(1, late.adapters(1));
-    assertEquals(Set.of("m2"), late.models(1));
+  void adaptersAreCountedSeparatelyFromModels() {
+    orders.sent("m1/a1", 0);
+    orders.sent("m2", 0);
+    orders.newLife();
+    assertEquals(1, orders.adapters(1));
+    assertEquals(Set.of("m2"), orders.models(1));
   }
 
   @Test
-  void secondRestartKeepsWhatThePreviousOneLeft() {
-    late.sent("m1", 0);
-    late.newLife();
-    late.sent("m2", 100);
-    late.newLife();
-    assertEquals(Set.of("m1", "m2"), late.models(200));
+  void unansweredOrdersAreKeptOverTwoRestarts() {
+    orders.sent("m1", 0);
+    orders.newLife();
+    orders.sent("m2", 100);
+    orders.newLife();
+    assertEquals(Set.of("m1", "m2"), orders.models(200));
   }
 
   @Test
-  void orderThatWasAnsweredNoLongerCountsThoughTheAnswerCameInTheNextLife() {
-    late.sent("m1", 0);
-    late.sent("m2", 0);
-    late.answered("m1");
-    late.newLife();
-    late.answered("m2");
-    assertEquals(Set.of(), late.models(1));
+  void answeredOrderDoesNotCountEvenIfTheAnswerArrivesAfterRestart() {
+    orders.sent("m1", 0);
+    orders.sent("m2", 0);
+    orders.answered("m1");
+    orders.newLife();
+    orders.answered("m2");
+    assertEquals(Set.of(), orders.models(1));
   }
 
   @Test
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -18,7 +18,10 @@
 import org.agatefield.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** Fleets of several sizes in which each instance has work at one runner. */
+/**
+ * Tests the exchange of loads in fleets of several sizes, in which each instance sends requests to
+ * the same runner.
+ */
 class LoadExchangeTest {
   private static final int DOMAINS = 3;
   private static final String RUNNER = "runner";
@@ -93,27 +96,27 @@
     members.values().forEach(member -> member.loads.sent(RUNNER, TOKENS));
   }
 
-  private int known(String id) {
+  private int knownRunning(String id) {
     return members.get(id).loads.total(RUNNER, now).running();
   }
 
   @Test
-  void eachInstanceOfLargeDomainsKnowsTheWorkOfTheWholeFleetOnce() {
+  void eachInstanceOfLargeDomainsCountsTheLoadOfTheWholeFleetOnce() {
     startFleet(8);
     sendOneRequestEach();
     run(SETTLED_MILLISECONDS);
     for (String id : members.keySet()) {
-      assertEquals(members.size(), known(id), id);
+      assertEquals(members.size(), knownRunning(id), id);
     }
   }
 
   @Test
-  void eachInstanceOfSmallDomainsKnowsTheWorkOfTheWholeFleetOnce() {
+  void eachInstanceOfSmallDomainsCountsTheLoadOfTheWholeFleetOnce() {
     startFleet(3);
     sendOneRequestEach();
     run(SETTLED_MILLISECONDS);
     for (String id : members.keySet()) {
-      assertEquals(members.size(), known(id), id);
+      assertEquals(members.size(), knownRunning(id), id);
     }
   }
 
@@ -137,27 +140,27 @@
   }
 
   @Test
-  void workThatEndedIsSoonCountedNowhere() {
+  void endedRequestsAreSoonNoLongerCountedAnywhere() {
     startFleet(8);
     sendOneRequestEach();
     run(SETTLED_MILLISECONDS);
     members.values().forEach(member -> member.loads.ended(RUNNER));
     run(SETTLED_MILLISECONDS);
-    members.keySet().forEach(id -> assertEquals(0, known(id), id));
+    members.keySet().forEach(id -> assertEquals(0, knownRunning(id), id));
   }
 
   @Test
-  void neighboursTellEachOtherWhileTheRelayIsSilent() {
+  void neighboursExchangeLoadsWhileTheRelayIsDown() {
     startFleet(8);
     sendOneRequestEach();
     run(SETTLED_MILLISECONDS);
     dead.add("d0-aa");
     run(SETTLED_MILLISECONDS);
-    assertEquals(7, known("d0-ab"));
+    assertEquals(7, knownRunning("d0-ab"));
   }
 
   @Test
-  void relayThatAnswersAgainSpeaksForItsNeighboursAgain() {
+  void recoveredRelayReportsForItsNeighboursAgain() {
     startFleet(8);
     sendOneRequestEach();
     run(SETTLED_MILLISECONDS);
@@ -165,6 +168,6 @@
     run(SETTLED_MILLISECONDS);
     dead.clear();
     run(SETTLED_MILLISECONDS);
-    assertEquals(members.size(), known("d0-ab"));
+    assertEquals(members.size(), knownRunning("d0-ab"));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectsTest.java
@@ -41,7 +41,7 @@
   private final RelayedObjects objects =
       new RelayedObjects(vertx, store, () -> List.copyOf(sources), this::send);
 
-  /** A store that answers nothing but counts how often it is asked. */
+  /** An empty store that counts list calls. */
   private static final class CountingStore implements ObjectSource {
     private int lists;
 
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void objectsAndTheirChangesComeFromTheSourceWithoutCallToTheStore() throws Exception {
+  void objectsAndTheirChangesComeFromTheSourceWithoutCallingTheStore() throws Exception {
     KnowledgeRelay relay = addSource("one");
     relay.changed(object("a", "first"));
     relay.confirmed();
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void nothingIsToldBeforeTheSourceKnowsTheObjects() throws Exception {
+  void sourceWithoutConfirmedObjectsIsSkipped() throws Exception {
     addSource("one");
     KnowledgeRelay second = addSource("two");
     second.changed(object("a", "known"));
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void watchEndsAsGoneWhenItsSourceLosesTheStoreAndTheNextListChoosesAgain() throws Exception {
+  void watchEndsWhenItsSourceLosesTheStoreAndTheNextListUsesAnotherSource() throws Exception {
     KnowledgeRelay first = addSource("one");
     first.confirmed();
     final KnowledgeRelay second = addSource("two");
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void theStoreIsAskedSparinglyWhileNoSourceAnswers() throws Exception {
+  void storeCallsAreLimitedWhileNoSourceAnswers() throws Exception {
     addSource("one");
     assertEquals("7", list().resourceVersion());
     ExecutionException failure = null;
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void askingForOneKindDoesNotKeepTheStoreFromBeingAskedForAnother() throws Exception {
+  void storeCallsAreLimitedSeparatelyForEachKind() throws Exception {
     addSource("one");
     assertEquals("7", list().resourceVersion());
     ObjectList configuration =
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void sourceThatStartedAgainGivesAllObjectsAnew() throws Exception {
+  void restartedSourceEndsWatchesSoThatObjectsAreListedAgain() throws Exception {
     KnowledgeRelay relay = addSource("one");
     relay.confirmed();
     String version = list().resourceVersion();
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void sourceThatHasNotHeardFromTheStoreLatelyIsPassedOver() throws Exception {
+  void sourceWithoutRecentConfirmationIsSkipped() throws Exception {
     KnowledgeRelay first = addSource("one");
     first.changed(object("a", "old"));
     first.confirmed();
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -26,7 +26,7 @@
 class RunnerDirectoryTest {
   private final RunnerDirectory directory = new RunnerDirectory(new TextDialect());
 
-  /** Reads content of the form {@code ready}, {@code draining} or anything unreadable. */
+  /** Decodes the states {@code ready} and {@code draining}; any other content is undecodable. */
   private static final class TextDialect implements KnowledgeDialect {
     @Override
     public String configurationName() {
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void drainingRunnerGetsNoFurtherRequest() {
+  void drainingRunnerIsNotUsable() {
     directory.changed(entry("a", "ready"));
     assertEquals(1, usable());
     directory.changed(entry("a", "draining"));
@@ -78,14 +78,14 @@
   }
 
   @Test
-  void anEntryThatVanishesWhileTheStoreAnswersIsGone() {
+  void entryDeletedWhileTheStoreIsAvailableIsRemoved() {
     directory.changed(entry("a", "ready"));
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     assertEquals(0, usable());
   }
 
   @Test
-  void anEntryThatLapsedWithTheStoreAwayStaysUntilItHadTimeToComeBack() {
+  void entryDeletedAfterAnOutageOfTheStoreIsUsableUntilTheReturnPeriodEnds() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void anEntryThatCameBackInTimeIsKept() {
+  void entryThatReturnsWithinTheReturnPeriodIsKept() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void runnerThatBeganToLeaveAfterItWasChosenIsNotUsable() {
+  void chosenRunnerThatStartsDrainingIsNotUsable() {
     RunnerSelector selector =
         new RunnerSelector(
             new FailureDomain("r", "d"),
@@ -126,14 +126,14 @@
   }
 
   @Test
-  void anUnreadableEntryNamesNoRunner() {
+  void undecodableEntryIsNotUsable() {
     directory.changed(entry("a", "ready"));
     directory.changed(entry("a", "resting"));
     assertEquals(0, usable());
   }
 
   @Test
-  void whatPeerTellsDoesNotReplaceWhatTheStoreSaid() {
+  void entryFromPeerDoesNotReplaceTheEntryOfTheStore() {
     directory.changed(entry("a", "draining"));
     directory.learnFromPeer("a", JsonNodeFactory.instance.textNode("ready"), 10);
     assertEquals(0, usable());
--- a/daemon/src/test/java/org/agatefield/daemon/forward/StallLimitsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/StallLimitsTest.java
@@ -25,19 +25,19 @@
           List.of(new WeightedService("s", 1)));
 
   @Test
-  void runnerThatStillSendsToOthersIsGivenMoreTime() {
+  void runnerThatStillSendsToOtherRequestsGetsMoreTime() {
     long busy = StallLimits.milliseconds(STREAM, false, 5_000, 100);
     long lost = StallLimits.milliseconds(STREAM, false, 5_000, 2_000);
     assertTrue(busy > lost, busy + " and " + lost);
   }
 
   @Test
-  void lostRunnerLeavesTimeForAnotherAttempt() {
+  void timeoutOfSilentRunnerLeavesTimeForAnotherAttempt() {
     assertTrue(StallLimits.milliseconds(STREAM, false, 5_000, 2_000) <= 2_500);
   }
 
   @Test
-  void brokenPauseIsNoticedBeforeTheCallerLeaves() {
+  void stalledStreamTimesOutBeforeTheCallerLeaves() {
     assertTrue(StallLimits.milliseconds(STREAM, true, 5_000, 2_000) < 2_000);
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/StandstillDetectorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/StandstillDetectorTest.java
@@ -9,19 +9,19 @@
   private final StandstillDetector detector = new StandstillDetector(1_000, 500_000);
 
   @Test
-  void clocksThatGoTogetherAreTrusted() {
+  void clocksThatAdvanceTogetherShowNoSuspension() {
     assertFalse(detector.stoodStill(1_200, 500_210));
     assertFalse(detector.stoodStill(9_200, 508_205));
   }
 
   @Test
-  void suspensionThatOnlyTheTimeOfDayCountsIsNoticedOnce() {
+  void suspensionCountedOnlyByTheWallClockIsDetectedOnce() {
     assertTrue(detector.stoodStill(1_200, 506_200));
     assertFalse(detector.stoodStill(1_400, 506_400));
   }
 
   @Test
-  void stepOfTheTimeOfDayIsNoticedEitherWay() {
+  void backwardStepOfTheWallClockIsDetected() {
     assertTrue(detector.stoodStill(1_200, 498_200));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/http/BadInputTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/BadInputTest.java
@@ -19,12 +19,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requirement REQ-ERRORS: each bad input gets its kind, ran nothing, and the daemon goes on. */
+/**
+ * Requirement REQ-ERRORS: each invalid input is refused with its error kind and runs nothing, and
+ * the daemon keeps serving.
+ */
 class BadInputTest {
-  private static final Duration LIMIT = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final int READ_TIMEOUT_MILLISECONDS = 20_000;
   private static final String COMPLETIONS = "/v1/completions";
-  private static final String GOOD = "{\"model\":\"quotes\",\"prompt\":\"x\",\"max_tokens\":2}";
+  private static final String VALID_BODY =
+      "{\"model\":\"quotes\",\"prompt\":\"x\",\"max_tokens\":2}";
 
   private final CallerApiHarness harness = new CallerApiHarness();
   private Address engine;
@@ -37,8 +41,8 @@
   }
 
   @AfterEach
-  void goesOn() {
-    assertEquals(200, harness.post(harness.address, COMPLETIONS, GOOD).statusCode());
+  void servesFurtherRequests() {
+    assertEquals(200, harness.post(harness.address, COMPLETIONS, VALID_BODY).statusCode());
     assertEquals(1, record().path("generationStarts").asInt());
     assertEquals(0, executions().path("total").asInt());
     assertEquals(0, harness.shutdown.running());
@@ -50,11 +54,12 @@
     assertRefused(400, "invalid_request", COMPLETIONS, "");
     assertRefused(400, "invalid_request", COMPLETIONS, "{\"model\":");
     assertRefused(400, "invalid_request", COMPLETIONS, "[1]");
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD + GOOD);
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD.replace("}", ",\"model\":\"b\"}"));
+    assertRefused(400, "invalid_request", COMPLETIONS, VALID_BODY + VALID_BODY);
+    assertRefused(
+        400, "invalid_request", COMPLETIONS, VALID_BODY.replace("}", ",\"model\":\"b\"}"));
     assertRefused(400, "invalid_request", COMPLETIONS, "{\"prompt\":\"x\"}");
     assertRefused(400, "invalid_request", COMPLETIONS, "{\"model\":\"quotes\"}");
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD.replace("\"x\"", "7"));
+    assertRefused(400, "invalid_request", COMPLETIONS, VALID_BODY.replace("\"x\"", "7"));
     assertRefused(
         400, "invalid_request", "/v1/chat/completions", "{\"model\":\"quotes\",\"messages\":[]}");
   }
@@ -62,23 +67,27 @@
   @Test
   void refusesNumbersOutOfRange() {
     for (String count : new String[] {"-5", "0", "1.5", "\"7\"", "99999999999", "{}"}) {
-      assertRefused(400, "invalid_request", COMPLETIONS, GOOD.replace(":2", ":" + count));
+      assertRefused(400, "invalid_request", COMPLETIONS, VALID_BODY.replace(":2", ":" + count));
     }
     assertRefused(
-        400, "invalid_request", COMPLETIONS, GOOD.replace("}", ",\"continue_from_token\":3}"));
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD.replace("}", ",\"stream\":\"yes\"}"));
+        400,
+        "invalid_request",
+        COMPLETIONS,
+        VALID_BODY.replace("}", ",\"continue_from_token\":3}"));
+    assertRefused(
+        400, "invalid_request", COMPLETIONS, VALID_BODY.replace("}", ",\"stream\":\"yes\"}"));
   }
 
   @Test
   void refusesUnknownNamesAndPaths() {
-    assertRefused(404, "not_found", COMPLETIONS, GOOD.replace("quotes", "unknown"));
+    assertRefused(404, "not_found", COMPLETIONS, VALID_BODY.replace("quotes", "unknown"));
     assertRefused(404, "not_found", "/services/unknown/bookings", "{}");
     assertRefused(404, "not_found", "/v1/unknown", "{}");
     assertRefused(404, "not_found", "/v1/models", "{}");
   }
 
   @Test
-  void refusesCallsThatMustNotRepeatWithoutKey() {
+  void refusesNonRepeatableCallsWithoutValidKey() {
     assertRefused(400, "missing_idempotency_key", "/services/booking/bookings", "{}");
     assertRefused(
         400,
@@ -91,9 +100,9 @@
 
   @Test
   void refusesMalformedHeaders() {
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD, "X-Request-Deadline-Ms", "soon");
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD, "X-Request-Deadline-Ms", "-1");
-    assertRefused(400, "invalid_request", COMPLETIONS, GOOD, "X-Request-Priority", "highest");
+    assertRefused(400, "invalid_request", COMPLETIONS, VALID_BODY, "X-Request-Deadline-Ms", "soon");
+    assertRefused(400, "invalid_request", COMPLETIONS, VALID_BODY, "X-Request-Deadline-Ms", "-1");
+    assertRefused(400, "invalid_request", COMPLETIONS, VALID_BODY, "X-Request-Priority", "highest");
   }
 
   @Test
@@ -101,16 +110,16 @@
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + harness.address + COMPLETIONS))
             .header("Content-Type", "text/plain")
-            .POST(HttpRequest.BodyPublishers.ofString(GOOD));
+            .POST(HttpRequest.BodyPublishers.ofString(VALID_BODY));
     assertError(400, "invalid_request", harness.send(request));
   }
 
   @Test
-  void refusesBodiesOverTheLimitAnnouncedOrNot() {
-    String large = GOOD.replace("\"x\"", "\"" + "x".repeat(5 * 1024 * 1024) + "\"");
+  void refusesBodiesOverTheLimitWithAndWithoutContentLength() {
+    String large = VALID_BODY.replace("\"x\"", "\"" + "x".repeat(5 * 1024 * 1024) + "\"");
     String head = "POST " + COMPLETIONS + " HTTP/1.1\r\nHost: a\r\n";
-    String announced = head + "Content-Length: " + large.length() + "\r\n\r\n";
-    assertTrue(exchange(announced).contains("body_too_large"));
+    String withContentLength = head + "Content-Length: " + large.length() + "\r\n\r\n";
+    assertTrue(exchange(withContentLength).contains("body_too_large"));
     String chunk = Integer.toHexString(large.length()) + "\r\n" + large + "\r\n0\r\n\r\n";
     assertTrue(
         exchange(head + "Transfer-Encoding: chunked\r\n\r\n" + chunk).contains("body_too_large"));
@@ -125,27 +134,27 @@
   }
 
   @Test
-  void refusesWhatIsNotHttp() {
+  void refusesInputThatIsNotHttp() {
     assertTrue(exchange("nonsense\r\n\r\n").contains("invalid_request"));
   }
 
   @Test
-  void forgetsRequestsWhoseBodyNeverEnds() throws IOException {
+  void releasesRequestsOfCallersThatDisconnectDuringTheBody() throws IOException {
     try (Socket socket = connect()) {
       String head = "POST " + COMPLETIONS + " HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n";
       write(socket, head + "{\"model\"");
-      await().atMost(LIMIT).until(() -> harness.shutdown.running() == 1);
+      await().atMost(TIMEOUT).until(() -> harness.shutdown.running() == 1);
     }
-    await().atMost(LIMIT).until(() -> harness.shutdown.running() == 0);
+    await().atMost(TIMEOUT).until(() -> harness.shutdown.running() == 0);
   }
 
   @Test
-  void forgetsRequestsOfCallersThatCloseTheirHalfBeforeTheBodyEnds() throws IOException {
+  void releasesRequestsOfCallersThatCloseTheirHalfDuringTheBody() throws IOException {
     try (Socket socket = connect()) {
       write(
           socket, "POST " + COMPLETIONS + " HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n{");
       socket.shutdownOutput();
-      await().atMost(LIMIT).until(() -> harness.shutdown.running() == 0);
+      await().atMost(TIMEOUT).until(() -> harness.shutdown.running() == 0);
     }
   }
 
@@ -178,7 +187,7 @@
     output.flush();
   }
 
-  /** Sends bytes as they are and returns what came back until the connection was closed. */
+  /** Sends text as it is and returns everything received until the connection is closed. */
   private String exchange(String text) {
     try (Socket socket = connect()) {
       socket.setSoTimeout(READ_TIMEOUT_MILLISECONDS);
@@ -209,7 +218,7 @@
         next = input.read();
       }
     } catch (IOException exception) {
-      // What came before the connection was reset counts.
+      // The text received before the connection was reset is the answer.
     }
     return answer.toString();
   }
--- a/daemon/src/test/java/org/agatefield/daemon/http/BrokenAnswerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/BrokenAnswerTest.java
@@ -27,9 +27,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requirement REQ-WHOLE-ANSWER: what cannot be whole ends with an explicit error, never short. */
+/**
+ * Requirement REQ-WHOLE-ANSWER: an answer that cannot be completed ends with an explicit error and
+ * is never truncated silently.
+ */
 class BrokenAnswerTest {
-  private static final Duration LIMIT = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final String PATH = "/v1/completions";
 
   private final CallerApiHarness harness = new CallerApiHarness();
@@ -41,7 +44,7 @@
   }
 
   @Test
-  void endsStreamsThatCannotGoOnWithAnErrorEventAndNoEndMarker() throws IOException {
+  void endsStreamsThatCannotResumeWithAnErrorEventAndNoEndMarker() throws IOException {
     Address engine = harness.startEngine(1);
     harness.dispatcher.allowRetries(0);
     harness.post(engine, "/faults", "{\"endWithoutDoneAfterTokens\":5}");
@@ -52,7 +55,7 @@
   }
 
   @Test
-  void answersNothingOfWholeAnswersThatAreCut() {
+  void sendsNoPartOfBufferedAnswersThatAreCut() {
     Address engine = harness.startEngine(1);
     harness.dispatcher.allowRetries(0);
     harness.post(engine, "/faults", "{\"resetAfterTokens\":5}");
@@ -62,14 +65,14 @@
   }
 
   @Test
-  void deliversNoCrossedAnswersToCallersAtTheSameTime() {
+  void deliversNoCrossedAnswersToConcurrentCallers() {
     Address crossing = harness.startEngine(1);
     harness.startEngine(1);
     harness.post(crossing, "/faults", "{\"crossAnswers\":true}");
     harness.dispatcher.allowRetries(Integer.MAX_VALUE);
     List<CompletableFuture<String>> answers =
         IntStream.range(0, 40)
-            .mapToObj(number -> CompletableFuture.supplyAsync(() -> wholeOrError(number)))
+            .mapToObj(number -> CompletableFuture.supplyAsync(() -> outcomeOf(number)))
             .toList();
     List<String> outcomes = answers.stream().map(CompletableFuture::join).toList();
     assertTrue(outcomes.contains("own") && !outcomes.contains("wrong"), outcomes::toString);
@@ -77,7 +80,7 @@
   }
 
   @Test
-  void triesAnotherReplicaWhenAnEngineRefusesOrCannotBeReached() {
+  void retriesOnAnotherReplicaWhenAnEngineRefusesOrIsUnreachable() {
     Address refusing = harness.startEngine(1);
     harness.dispatcher.addRunner(
         CallerApiHarness.upstream(new Address("127.0.0.1", 1), UpstreamKind.MODEL_RUNNER));
@@ -91,7 +94,7 @@
   }
 
   @Test
-  void saysNotRunWhereNoEngineRanAnything() {
+  void reportsNotRunIfNoEngineRanTheRequest() {
     Address engine = harness.startEngine(1);
     harness.dispatcher.allowRetries(3);
     harness.post(engine, "/faults", "{\"refuse\":true}");
@@ -101,7 +104,7 @@
   }
 
   @Test
-  void neverSaysNotRunAfterAnAttemptRan() {
+  void neverReportsNotRunAfterAnAttemptRan() {
     Address engine = harness.startEngine(1);
     harness.dispatcher.allowRetries(1);
     harness.post(engine, "/faults", "{\"resetAfterTokens\":1,\"generations\":2}");
@@ -111,18 +114,18 @@
   }
 
   @Test
-  void cancelsWorkWhoseDeadlinePasses() throws IOException {
+  void cancelsGenerationsWhoseDeadlinePasses() throws IOException {
     Address engine = harness.startEngine(1);
     HttpResponse<String> whole =
         harness.post(harness.address, PATH, body(100_000, false), "X-Request-Deadline-Ms", "300");
     assertEquals(504, whole.statusCode());
     assertEquals("deadline_exceeded", code(whole));
-    await().atMost(LIMIT).until(() -> record(engine).path("cancelledGenerations").asInt() == 1);
+    await().atMost(TIMEOUT).until(() -> record(engine).path("cancelledGenerations").asInt() == 1);
     assertEquals(List.of(DispatchOutcome.TIMED_OUT), harness.dispatcher.outcomes());
   }
 
   @Test
-  void leavesTheQueueWhenTheDeadlinePassesBeforeAnythingWasSent() {
+  void cancelsTheAcquisitionWhenTheDeadlinePassesInTheQueue() {
     CompletableFuture<Dispatch> queued = new CompletableFuture<>();
     harness.dispatcher.hold(queued);
     HttpResponse<String> response =
@@ -133,18 +136,18 @@
   }
 
   @Test
-  void cancelsWorkOfCallersThatHaveGone() throws IOException {
+  void cancelsGenerationsOfCallersThatDisconnect() throws IOException {
     Address engine = harness.startEngine(1);
     try (Socket socket = open(body(100_000, true))) {
       readHead(socket.getInputStream());
     }
-    await().atMost(LIMIT).until(() -> record(engine).path("cancelledGenerations").asInt() == 1);
-    await().atMost(LIMIT).until(() -> harness.shutdown.running() == 0);
+    await().atMost(TIMEOUT).until(() -> record(engine).path("cancelledGenerations").asInt() == 1);
+    await().atMost(TIMEOUT).until(() -> harness.shutdown.running() == 0);
     assertEquals(List.of(DispatchOutcome.CANCELLED), harness.dispatcher.outcomes());
   }
 
   @Test
-  void failsOneStreamOfSharedConnectionsAlone() {
+  void failsOnlyTheAffectedStreamOfSharedConnections() {
     Address engine = harness.startEngine(5);
     harness.dispatcher.allowRetries(0);
     harness.post(engine, "/faults", "{\"endWithoutDoneAfterTokens\":5,\"generations\":1}");
@@ -152,13 +155,13 @@
     send(shared, "GET", "/healthz", "").join();
     CompletableFuture<HttpResponse<String>> failing = send(shared, "POST", PATH, body(50, true));
     CompletableFuture<HttpResponse<String>> other = send(shared, "POST", PATH, body(50, true));
-    long whole = List.of(failing, other).stream().filter(this::isWhole).count();
+    long whole = List.of(failing, other).stream().filter(this::isComplete).count();
     assertEquals(1, whole);
     assertThrows(
         CompletionException.class, () -> List.of(failing, other).forEach(CompletableFuture::join));
   }
 
-  private boolean isWhole(CompletableFuture<HttpResponse<String>> answer) {
+  private boolean isComplete(CompletableFuture<HttpResponse<String>> answer) {
     try {
       return StreamText.read(answer.join().body()).text().equals(text(50));
     } catch (CompletionException exception) {
@@ -176,8 +179,11 @@
     return client.sendAsync(request, HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Returns {@code own}, {@code wrong}, or {@code error} if an explicit error came. */
-  private String wholeOrError(int number) {
+  /**
+   * Returns {@code own} for the caller's own answer, {@code error} for a recognizable failure,
+   * otherwise {@code wrong}.
+   */
+  private String outcomeOf(int number) {
     String prompt = "prompt-" + number;
     String body = body(20, number % 2 == 0).replace("seal", prompt);
     HttpResponse<String> response;
@@ -224,7 +230,7 @@
 
   private Socket open(String body) throws IOException {
     Socket socket = new Socket(harness.address.host(), harness.address.port());
-    socket.setSoTimeout((int) LIMIT.toMillis());
+    socket.setSoTimeout((int) TIMEOUT.toMillis());
     String head =
         "POST "
             + PATH
--- a/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
@@ -53,7 +53,7 @@
 import org.agatefield.standin.engine.EngineStandinOptions;
 import org.agatefield.standin.service.ServiceStandin;
 
-/** The callers' interface over real HTTP, with stand-in upstreams in the same process. */
+/** Serves the API for callers over HTTP, with stand-in upstreams in the same process. */
 final class CallerApiHarness implements AutoCloseable {
   static final String MODEL = "quotes";
   static final String ADAPTER = "kochi";
@@ -134,7 +134,7 @@
     return future.toCompletionStage().toCompletableFuture().join();
   }
 
-  /** Starts an engine that holds the model and gives it to the dispatcher. */
+  /** Starts an engine, loads the model and registers the engine with the dispatcher. */
   Address startEngine(int tokenMilliseconds) {
     EngineStandinOptions options =
         new EngineStandinOptions(
@@ -266,7 +266,7 @@
     }
   }
 
-  /** Knows this instance only. */
+  /** Contains this instance only. */
   private final class FixedDirectory implements EntryDirectory, InstanceDirectory {
     @Override
     public EntryAnswer entriesFor(Optional<String> model, Optional<String> region) {
--- a/daemon/src/test/java/org/agatefield/daemon/http/CallerApiTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/CallerApiTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requirement REQ-CALLERS: callers get whole answers or an error that says whether it ran. */
+/**
+ * Requirement REQ-CALLERS: callers get complete answers or an error that states whether the request
+ * ran.
+ */
 class CallerApiTest {
   private static final String COMPLETION =
       "{\"model\":\"quotes\",\"prompt\":\"seal\",\"max_tokens\":20,\"stream\":true}";
@@ -25,7 +28,7 @@
   }
 
   @Test
-  void streamsAnAnswerUnderTheNameThatWasAskedFor() {
+  void streamsAnAnswerWithTheRequestedModelName() {
     harness.startEngine(1);
     HttpResponse<String> response = harness.post(harness.address, "/v1/completions", COMPLETION);
     String text = TokenSequence.of("quotes@v1", "seal", 20).text();
@@ -36,7 +39,7 @@
   }
 
   @Test
-  void answersChatWholeWhenNoStreamIsAskedFor() {
+  void answersChatInOnePieceIfNoStreamIsRequested() {
     harness.startEngine(1);
     HttpResponse<String> response =
         harness.post(
@@ -53,7 +56,7 @@
   }
 
   @Test
-  void ordersAnAdapterThatTheEngineDoesNotHold() {
+  void loadsAnAdapterThatTheEngineHasNotLoaded() {
     harness.startEngine(1);
     String body = COMPLETION.replace("quotes", "kochi");
     StreamText answer =
@@ -63,7 +66,7 @@
   }
 
   @Test
-  void resumesCutStreamsOnOtherReplicasWithoutLosingOrDoublingTokens() {
+  void resumesCutStreamsOnOtherReplicasWithoutLosingOrRepeatingTokens() {
     Address first = harness.startEngine(1);
     Address second = harness.startEngine(1);
     harness.startEngine(1);
@@ -81,7 +84,7 @@
   }
 
   @Test
-  void passesRepeatableCallsOnAndBooksOnce() {
+  void forwardsServiceCallsAndBooksOnce() {
     Address service = harness.startService();
     HttpResponse<String> booked =
         harness.post(
--- a/daemon/src/test/java/org/agatefield/daemon/http/RecordingDispatcher.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/RecordingDispatcher.java
@@ -14,14 +14,14 @@
 import org.agatefield.model.Upstream;
 import org.agatefield.model.VersionId;
 
-/** Chooses upstreams in turn and records how attempts ended. Safe for use by any thread. */
+/** Selects upstreams in turn and records the outcomes of attempts. Safe for use by any thread. */
 final class RecordingDispatcher implements Dispatcher {
   private final List<Upstream> runners = new ArrayList<>();
   private final List<Upstream> serviceRunners = new ArrayList<>();
   private final List<DispatchOutcome> outcomes = new ArrayList<>();
   private final List<ModelRequest> requests = new ArrayList<>();
-  private final String adapterOf;
-  private Optional<CompletableFuture<Dispatch>> held = Optional.empty();
+  private final String deployment;
+  private Optional<CompletableFuture<Dispatch>> delayedAcquisition = Optional.empty();
   private int next;
   private long attempts;
   private int retries = 100;
@@ -29,10 +29,10 @@
   /**
    * Creates a dispatcher without runners.
    *
-   * @param adapterOf the deployment that every name that is not its own is an adapter of
+   * @param deployment the deployment; every other model name is taken as one of its adapters
    */
-  RecordingDispatcher(String adapterOf) {
-    this.adapterOf = adapterOf;
+  RecordingDispatcher(String deployment) {
+    this.deployment = deployment;
   }
 
   synchronized void addRunner(Upstream runner) {
@@ -47,9 +47,9 @@
     retries = count;
   }
 
-  /** Makes the next acquisitions wait for this future. */
+  /** Makes subsequent acquisitions for models return this future. */
   synchronized void hold(CompletableFuture<Dispatch> future) {
-    held = Optional.of(future);
+    delayedAcquisition = Optional.of(future);
   }
 
   synchronized List<DispatchOutcome> outcomes() {
@@ -67,12 +67,12 @@
   @Override
   public synchronized CompletableFuture<Dispatch> acquire(ModelRequest request) {
     requests.add(request);
-    if (held.isPresent()) {
-      return held.get();
+    if (delayedAcquisition.isPresent()) {
+      return delayedAcquisition.get();
     }
     Optional<String> adapter =
-        request.model().equals(adapterOf) ? Optional.empty() : Optional.of(request.model());
-    return choose(runners, Optional.of(new VersionId(adapterOf, "v1")), adapter);
+        request.model().equals(deployment) ? Optional.empty() : Optional.of(request.model());
+    return choose(runners, Optional.of(new VersionId(deployment, "v1")), adapter);
   }
 
   @Override
@@ -86,7 +86,7 @@
     failed.finished(outcome);
     if (retries == 0) {
       return CompletableFuture.failedFuture(
-          new AgatefieldException(ErrorKind.NO_UPSTREAM, "the retry budget is used up"));
+          new AgatefieldException(ErrorKind.NO_UPSTREAM, "the retry budget is exhausted"));
     }
     retries--;
     List<Upstream> candidates = failed.version().isPresent() ? runners : serviceRunners;
@@ -150,7 +150,7 @@
 
     @Override
     public void firstAnswerPart() {
-      // Nothing is measured here.
+      // Not recorded.
     }
 
     @Override
--- a/daemon/src/test/java/org/agatefield/daemon/http/ResumeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/ResumeTest.java
@@ -14,7 +14,8 @@
 import org.agatefield.standin.engine.TokenSequence;
 
 /**
- * Requirement REQ-WHOLE-ANSWER: however often a stream is cut, the caller reads each token once.
+ * Requirement REQ-WHOLE-ANSWER: the caller reads each token once, however often the stream is
+ * interrupted.
  */
 class ResumeTest {
   private static final int ENGINES = 4;
@@ -37,28 +38,29 @@
   }
 
   @Property(tries = 40, seed = "42")
-  void readsTheSameTokensAsFromAnUndisturbedStream(
+  void deliversTheSameTokensAsAnUninterruptedStream(
       @ForAll @Size(ENGINES) List<@IntRange(min = 1, max = TOKENS) Integer> cuts,
-      @ForAll @Size(ENGINES) List<Boolean> inGoodOrder,
+      @ForAll @Size(ENGINES) List<Boolean> endsCleanly,
       @ForAll boolean chat,
       @ForAll @IntRange(max = 1_000_000) int number) {
     for (int engine = 0; engine < ENGINES; engine++) {
-      String fault = inGoodOrder.get(engine) ? "endWithoutDoneAfterTokens" : "resetAfterTokens";
+      String fault = endsCleanly.get(engine) ? "endWithoutDoneAfterTokens" : "resetAfterTokens";
       harness.post(
           engines.get(engine),
           "/faults",
           "{\"" + fault + "\":" + cuts.get(engine) + ",\"generations\":1}");
     }
     String prompt = "prompt-" + number;
-    StreamText answer = StreamText.read(ask(prompt, chat));
-    String seen = chat ? prompt + "\n" : prompt;
-    String text = TokenSequence.of("quotes@v1", seen, TOKENS).text();
+    StreamText answer = StreamText.read(sendRequest(prompt, chat));
+    String engineInput = chat ? prompt + "\n" : prompt;
+    String text = TokenSequence.of("quotes@v1", engineInput, TOKENS).text();
     StreamText expected =
-        new StreamText(text, TokenSequence.checksum(seen, text), List.of("quotes"), "", true);
+        new StreamText(
+            text, TokenSequence.checksum(engineInput, text), List.of("quotes"), "", true);
     assertEquals(expected, answer);
   }
 
-  private static String ask(String prompt, boolean chat) {
+  private static String sendRequest(String prompt, boolean chat) {
     String content =
         chat
             ? "\"messages\":[{\"role\":\"user\",\"content\":\"" + prompt + "\"}]"
--- a/daemon/src/test/java/org/agatefield/daemon/http/ShutdownCoordinatorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/ShutdownCoordinatorTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requirement REQ-GRACEFUL: the steps of a graceful shutdown, by a clock that the test sets. */
+/** Requirement REQ-GRACEFUL: tests the steps of a graceful shutdown with a manual clock. */
 class ShutdownCoordinatorTest {
-  private static final Duration LIMIT = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final long SECOND = 1_000_000_000L;
 
   private final Vertx vertx = Vertx.vertx();
@@ -43,21 +43,21 @@
   }
 
   @Test
-  void servesUntilNoCallerCanHoldAnAnswerThatNamesIt() {
-    final CompletableFuture<Boolean> over = coordinator.beginShutdown(() -> {});
+  void servesUntilAllEntryAnswersThatNameItHaveExpired() {
+    final CompletableFuture<Boolean> result = coordinator.beginShutdown(() -> {});
     assertTrue(coordinator.isLeaving());
     advanceTo(1_031 * SECOND);
     assertTrue(coordinator.tryBeginRequest());
     advanceTo(1_033 * SECOND);
     assertFalse(coordinator.tryBeginRequest());
-    assertFalse(over.isDone());
+    assertFalse(result.isDone());
     coordinator.requestCompletion().run();
-    assertTrue(over.join());
+    assertTrue(result.join());
     assertEquals(0, violations.get());
   }
 
   @Test
-  void countsTheTimeToLiveFromTheLastAnswerThatNamedIt() {
+  void measuresTheTimeToLiveFromTheLastEntryAnswerThatNamedIt() {
     coordinator.beginShutdown(() -> {});
     advanceTo(1_020 * SECOND);
     coordinator.recordEntryAnswer();
@@ -68,51 +68,51 @@
   }
 
   @Test
-  void waitsForCallsWhoseOutcomeIsNotYetWritten() {
+  void waitsForCallsWhoseOutcomeIsNotStoredYet() {
     calls.set(1);
-    CompletableFuture<Boolean> over = coordinator.beginShutdown(() -> {});
+    CompletableFuture<Boolean> result = coordinator.beginShutdown(() -> {});
     advanceTo(1_040 * SECOND);
-    assertFalse(over.isDone());
+    assertFalse(result.isDone());
     calls.set(0);
-    assertTrue(over.join());
+    assertTrue(result.join());
   }
 
   @Test
-  void givesUpAfterTheDrainTimeoutAndReportsIt() {
+  void reportsRequestsThatStillRunAfterTheDrainTimeout() {
     assertTrue(coordinator.tryBeginRequest());
-    CompletableFuture<Boolean> over = coordinator.beginShutdown(() -> {});
+    CompletableFuture<Boolean> result = coordinator.beginShutdown(() -> {});
     advanceTo(1_033 * SECOND);
     now.set(1_094 * SECOND);
-    assertFalse(over.join());
+    assertFalse(result.join());
     assertEquals(1, violations.get());
   }
 
   @Test
-  void countsEachRequestOutOnceAndSaysThatItLeavesOnce() {
-    final AtomicInteger said = new AtomicInteger();
+  void deregistersEachRequestOnceAndAnnouncesLeavingOnce() {
+    final AtomicInteger announcements = new AtomicInteger();
     assertTrue(coordinator.tryBeginRequest() && coordinator.tryBeginRequest());
     Runnable requestCompletion = coordinator.requestCompletion();
     requestCompletion.run();
     requestCompletion.run();
     assertEquals(1, coordinator.running());
-    coordinator.beginShutdown(said::incrementAndGet);
-    coordinator.beginShutdown(said::incrementAndGet);
-    assertEquals(1, said.get());
+    coordinator.beginShutdown(announcements::incrementAndGet);
+    coordinator.beginShutdown(announcements::incrementAndGet);
+    assertEquals(1, announcements.get());
   }
 
   @Test
-  void cutsNoStreamThatRunsAndRefusesOnlyAfterwards() {
+  void finishesRunningStreamsAndRefusesRequestsAfterwards() {
     try (CallerApiHarness harness = new CallerApiHarness()) {
       harness.startEngine(20);
       String body = "{\"model\":\"quotes\",\"prompt\":\"seal\",\"max_tokens\":60,\"stream\":true}";
       final CompletableFuture<HttpResponse<String>> stream =
           CompletableFuture.supplyAsync(
               () -> harness.post(harness.address, "/v1/completions", body));
-      await().atMost(LIMIT).until(() -> harness.shutdown.running() == 1);
-      CompletableFuture<Boolean> over = harness.shutdown.beginShutdown(() -> {});
+      await().atMost(TIMEOUT).until(() -> harness.shutdown.running() == 1);
+      CompletableFuture<Boolean> result = harness.shutdown.beginShutdown(() -> {});
       assertEquals(503, harness.get(harness.address, "/readyz").statusCode());
       assertEquals(200, harness.get(harness.address, "/healthz").statusCode());
-      assertTrue(over.join());
+      assertTrue(result.join());
       String text = TokenSequence.of("quotes@v1", "seal", 60).text();
       assertEquals(text, StreamText.read(stream.join().body()).text());
       HttpResponse<String> refused = harness.post(harness.address, "/v1/completions", body);
@@ -128,11 +128,11 @@
     return now.get();
   }
 
-  /** Sets the clock and waits until the coordinator has looked at it. */
+  /** Sets the clock and waits until the coordinator has read it. */
   private void advanceTo(long nanoseconds) {
     now.set(nanoseconds);
     int before = clockReads.get();
-    await().atMost(LIMIT).until(() -> clockReads.get() > before + 1);
+    await().atMost(TIMEOUT).until(() -> clockReads.get() > before + 1);
   }
 
   /** Counts violations. */
--- a/daemon/src/test/java/org/agatefield/daemon/http/StreamText.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/StreamText.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * What a caller reads out of an event stream. Immutable.
+ * The content that a caller reads from an event stream. Immutable.
  *
  * @param text the tokens, joined
- * @param checksum the engine's checksum of the whole answer; empty if it did not come
- * @param models the model names that stood in the parts
+ * @param checksum the engine's checksum of the whole answer; empty if none was received
+ * @param models the distinct model names in the parts
  * @param error the code of the error event; empty if there was none
- * @param done whether the end marker came
+ * @param done whether the end marker was received
  */
 record StreamText(String text, String checksum, List<String> models, String error, boolean done) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/daemon/src/test/java/org/agatefield/daemon/peers/PeerCoordinatorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/peers/PeerCoordinatorTest.java
@@ -27,41 +27,41 @@
 import org.junit.jupiter.api.Test;
 
 class PeerCoordinatorTest {
-  private static final Duration LIMIT = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final Duration SEVERAL_ROUNDS =
-      Duration.ofSeconds(3); // of probes and of reading lists
+      Duration.ofSeconds(3); // several probes and list readings
 
   private final List<Node> nodes = new ArrayList<>();
 
   @AfterEach
   void closeNodes() {
-    nodes.forEach(node -> node.duty.close());
+    nodes.forEach(node -> node.coordinator.close());
   }
 
   @Test
   void instancesFindEachOtherFromOneSeed() {
     startThree();
-    awaitAllKnowEachOther();
+    awaitFullMembership();
   }
 
   @Test
   void higherGenerationReachesEveryInstanceFromOnePeer() {
     startThree();
-    awaitAllKnowEachOther();
+    awaitFullMembership();
     nodes.get(1).offer(ConfigurationDocument.empty().withGeneration(7));
-    await().atMost(LIMIT).until(() -> nodes.stream().allMatch(node -> node.generation() == 7));
+    await().atMost(TIMEOUT).until(() -> nodes.stream().allMatch(node -> node.generation() == 7));
   }
 
   @Test
-  void instanceThatStartsLaterLearnsTheConfigurationFromPeers() {
+  void instanceThatJoinsLaterFetchesTheConfigurationFromPeers() {
     startThree();
     nodes.get(0).offer(ConfigurationDocument.empty().withGeneration(3));
     Node late = start("late", new FailureDomain("south", "b"), nodes.get(0).address());
-    await().atMost(LIMIT).until(() -> late.generation() == 3);
+    await().atMost(TIMEOUT).until(() -> late.generation() == 3);
   }
 
   @Test
-  void instanceIsKnownToNobodyBeforeItJoinsThoughItIsOnTheLists() throws InterruptedException {
+  void instanceOnTheListsIsUnknownToOthersUntilItJoins() throws InterruptedException {
     Node first = start("a", new FailureDomain("north", "a"), null);
     Node late = create("late", new FailureDomain("north", "b"), first.address());
     InstanceList.EntryInstance entry =
@@ -75,49 +75,50 @@
     first.list.replace(both);
     late.list.replace(both);
     Thread.sleep(SEVERAL_ROUNDS.toMillis());
-    assertEquals(1, first.duty.alive().size());
-    late.duty.join();
-    await().atMost(LIMIT).until(() -> first.duty.alive().size() == 2);
+    assertEquals(1, first.coordinator.alive().size());
+    late.coordinator.join();
+    await().atMost(TIMEOUT).until(() -> first.coordinator.alive().size() == 2);
   }
 
   @Test
-  void leavingInstanceIsSeenAsLeavingEverywhere() {
+  void leavingInstanceBecomesLeavingAtEveryInstance() {
     startThree();
-    awaitAllKnowEachOther();
-    nodes.get(2).duty.leave();
+    awaitFullMembership();
+    nodes.get(2).coordinator.leave();
     await()
-        .atMost(LIMIT)
+        .atMost(TIMEOUT)
         .until(() -> nodes.stream().allMatch(node -> node.stateOf("c") == InstanceState.LEAVING));
   }
 
   @Test
-  void upstreamThatOneListCallsLeavingIsLeavingEverywhere() {
+  void upstreamLeavingOnOneListIsLeavingAtEveryInstance() {
     startThree();
-    awaitAllKnowEachOther();
+    awaitFullMembership();
     nodes
         .get(0)
         .list
         .replace(new InstanceList.Snapshot(List.of(), Set.of("runner-2"), Set.of("runner-1")));
     await()
-        .atMost(LIMIT)
+        .atMost(TIMEOUT)
         .until(
             () ->
                 nodes.stream()
-                    .allMatch(node -> node.duty.leavingUpstreams().equals(Set.of("runner-1"))));
+                    .allMatch(
+                        node -> node.coordinator.leavingUpstreams().equals(Set.of("runner-1"))));
   }
 
   @Test
-  void totalDemandAddsUpEveryInstance() {
+  void totalDemandIncludesEveryInstance() {
     startThree();
-    awaitAllKnowEachOther();
+    awaitFullMembership();
     DemandSample expectedNorth = new DemandSample("model", "north", 2, 0, 0.5);
     DemandSample expectedSouth = new DemandSample("model", "south", 1, 0, 0.25);
     await()
-        .atMost(LIMIT)
+        .atMost(TIMEOUT)
         .untilAsserted(
             () ->
                 assertEquals(
-                    List.of(expectedNorth, expectedSouth), nodes.get(2).duty.totalDemand()));
+                    List.of(expectedNorth, expectedSouth), nodes.get(2).coordinator.totalDemand()));
   }
 
   private void startThree() {
@@ -126,15 +127,15 @@
     start("c", new FailureDomain("south", "a"), first.address());
   }
 
-  private void awaitAllKnowEachOther() {
+  private void awaitFullMembership() {
     await()
-        .atMost(LIMIT)
-        .until(() -> nodes.stream().allMatch(node -> node.duty.alive().size() == 3));
+        .atMost(TIMEOUT)
+        .until(() -> nodes.stream().allMatch(node -> node.coordinator.alive().size() == 3));
   }
 
   private Node start(String id, FailureDomain failureDomain, Address seed) {
     Node node = create(id, failureDomain, seed);
-    node.duty.join();
+    node.coordinator.join();
     return node;
   }
 
@@ -144,10 +145,10 @@
     return node;
   }
 
-  /** One instance with a configuration and a list of its own. */
+  /** An instance with its own configuration and instance list. */
   private static final class Node implements ConfigurationSource, ConfigurationSink {
     private final Instance instance;
-    private final PeerCoordinator duty;
+    private final PeerCoordinator coordinator;
     private final FakeList list = new FakeList();
     private final List<Consumer<ConfigurationDocument>> listeners = new CopyOnWriteArrayList<>();
     private ConfigurationDocument document = ConfigurationDocument.empty();
@@ -155,7 +156,7 @@
     private Node(String id, FailureDomain failureDomain, List<Address> seeds) {
       Address address = freeAddress();
       instance = new Instance(id, address, address, failureDomain, InstanceState.LIVE);
-      duty =
+      coordinator =
           new PeerCoordinator(
               instance,
               seeds,
@@ -177,7 +178,7 @@
     }
 
     private InstanceState stateOf(String id) {
-      return duty.alive().stream()
+      return coordinator.alive().stream()
           .filter(each -> each.id().equals(id))
           .map(Instance::state)
           .findFirst()
@@ -212,7 +213,7 @@
     }
   }
 
-  /** A list that the test sets. */
+  /** An instance list that the test controls. */
   private static final class FakeList implements InstanceList {
     private final List<Consumer<Snapshot>> listeners = new CopyOnWriteArrayList<>();
     private volatile Snapshot snapshot = Snapshot.EMPTY;
--- a/settings/src/test/java/org/agatefield/settings/SettingsReaderTest.java
+++ b/settings/src/test/java/org/agatefield/settings/SettingsReaderTest.java
@@ -63,10 +63,10 @@
     "region = \"kochi\", region = 4, instance.region",
     "peers = \"127.0.0.1:8081\", '', listen.peers"
   })
-  void oneWrongValueIsNamedWithItsKey(String right, String wrong, String key) {
+  void invalidValueIsReportedWithItsKey(String valid, String invalid, String key) {
     SettingsException exception =
         assertThrows(
-            SettingsException.class, () -> reader.read("a.toml", MINIMAL.replace(right, wrong)));
+            SettingsException.class, () -> reader.read("a.toml", MINIMAL.replace(valid, invalid)));
     assertEquals(List.of(key), exception.faults().stream().map(SettingsFault::key).toList());
   }
 
