--- a/command/src/main/java/org/agatefield/command/LoadGenerator.java
+++ b/command/src/main/java/org/agatefield/command/LoadGenerator.java
@@ -29,7 +29,7 @@
 public final class LoadGenerator implements AutoCloseable {
   private static final int MAXIMUM_CONNECTIONS = 1_000;
   private static final int SIGNIFICANT_DIGITS = 3;
-  private static final long LAST_ANSWERS_SECONDS = 60;
+  private static final long FINAL_ANSWERS_TIMEOUT_SECONDS = 60;
   private static final String END_MARKER = "[DONE]";
   private static final int TAIL_BYTES = 32;
 
@@ -65,16 +65,16 @@
     long warmUp = plan.warmUp().toSeconds() * plan.requestsPerSecond();
     long requests = warmUp + plan.duration().toSeconds() * plan.requestsPerSecond();
     long intervalNanoseconds = TimeUnit.SECONDS.toNanos(1) / plan.requestsPerSecond();
-    CountDownLatch answered = new CountDownLatch((int) requests);
-    long begin = System.nanoTime();
+    CountDownLatch pendingAnswers = new CountDownLatch((int) requests);
+    long startNanoseconds = System.nanoTime();
     for (long number = 0; number < requests; number++) {
-      long plannedStart = begin + number * intervalNanoseconds;
+      long plannedStart = startNanoseconds + number * intervalNanoseconds;
       waitUntil(plannedStart);
-      start(plan, new Start(plannedStart, number >= warmUp), answered);
+      start(plan, new Start(plannedStart, number >= warmUp), pendingAnswers);
     }
-    boolean complete = answered.await(LAST_ANSWERS_SECONDS, TimeUnit.SECONDS);
+    boolean complete = pendingAnswers.await(FINAL_ANSWERS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (!complete) {
-      failed.addAndGet(answered.getCount());
+      failed.addAndGet(pendingAnswers.getCount());
     }
     return new LoadReportTable(whole.get(), refused.get(), failed.get(), firstPart, wholeAnswer);
   }
@@ -87,7 +87,7 @@
     }
   }
 
-  private void start(LoadPlan plan, Start start, CountDownLatch answered) {
+  private void start(LoadPlan plan, Start start, CountDownLatch pendingAnswers) {
     RequestOptions options =
         new RequestOptions()
             .setMethod(HttpMethod.POST)
@@ -102,7 +102,7 @@
             request ->
                 request.send(Buffer.buffer(plan.body())).compose(response -> read(response, start)))
         .onFailure(failure -> failed.incrementAndGet())
-        .onComplete(ended -> answered.countDown());
+        .onComplete(ended -> pendingAnswers.countDown());
   }
 
   private Future<Void> read(HttpClientResponse response, Start start) {
--- a/command/src/main/java/org/agatefield/command/SendCommand.java
+++ b/command/src/main/java/org/agatefield/command/SendCommand.java
@@ -106,7 +106,7 @@
       if (answer.status() >= 300) {
         return print(answer);
       }
-      return printer.ended() ? CommandExitCode.SUCCESS : CommandExitCode.FAILURE;
+      return printer.finish() ? CommandExitCode.SUCCESS : CommandExitCode.FAILURE;
     }
   }
 
--- a/command/src/main/java/org/agatefield/command/StreamPrinter.java
+++ b/command/src/main/java/org/agatefield/command/StreamPrinter.java
@@ -29,7 +29,7 @@
    * Ends the line and returns whether the end marker was received, which means that the answer is
    * complete.
    */
-  boolean ended() {
+  boolean finish() {
     output.println();
     if (!endMarkerSeen) {
       System.err.println("the answer is incomplete: it ended without its end marker");
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentRules.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentRules.java
@@ -40,10 +40,10 @@
   private void checkModelNames() {
     Map<String, String> firstPaths = new HashMap<>();
     for (int i = 0; i < document.deployments().size(); i++) {
-      unique(firstPaths, document.deployments().get(i).name(), path("deployments", i));
+      checkUnique(firstPaths, document.deployments().get(i).name(), path("deployments", i));
     }
     for (int i = 0; i < document.adapters().size(); i++) {
-      unique(firstPaths, document.adapters().get(i).name(), path("adapters", i));
+      checkUnique(firstPaths, document.adapters().get(i).name(), path("adapters", i));
     }
   }
 
@@ -54,11 +54,11 @@
       Map<String, String> firstPaths = new HashMap<>();
       for (int j = 0; j < deployment.versions().size(); j++) {
         String versionPath = path + ".versions[" + j + "]";
-        unique(firstPaths, deployment.versions().get(j).name(), versionPath);
+        checkUnique(firstPaths, deployment.versions().get(j).name(), versionPath);
       }
       int weights = deployment.versions().stream().mapToInt(DeploymentVersion::weight).sum();
       if (weights == 0) {
-        fault(
+        addFault(
             path + ".versions",
             "no weight above 0",
             "at least one version must have a weight above 0");
@@ -70,7 +70,7 @@
     for (int i = 0; i < document.adapters().size(); i++) {
       Adapter adapter = document.adapters().get(i);
       if (document.deployment(adapter.deployment()).isEmpty()) {
-        fault(
+        addFault(
             path("adapters", i) + ".deployment",
             quote(adapter.deployment()),
             "must name a deployment of this document");
@@ -83,9 +83,9 @@
     Set<String> tokens = new HashSet<>();
     for (int i = 0; i < document.callers().size(); i++) {
       String path = path("callers", i);
-      unique(names, document.callers().get(i).name(), path);
+      checkUnique(names, document.callers().get(i).name(), path);
       if (!tokens.add(document.callers().get(i).tokenSha256())) {
-        fault(
+        addFault(
             path + ".tokenSha256",
             "the hash of another caller",
             "the tokens of callers must be unique");
@@ -96,7 +96,7 @@
   private void checkServices() {
     Map<String, String> names = new HashMap<>();
     for (int i = 0; i < document.services().size(); i++) {
-      unique(names, document.services().get(i).name(), path("services", i));
+      checkUnique(names, document.services().get(i).name(), path("services", i));
     }
   }
 
@@ -106,10 +106,10 @@
     for (int i = 0; i < document.upstreams().size(); i++) {
       Upstream upstream = document.upstreams().get(i);
       String path = path("upstreams", i);
-      unique(names, upstream.name(), path);
+      checkUnique(names, upstream.name(), path);
       String earlier = addresses.putIfAbsent(upstream.address().toString(), path);
       if (earlier != null) {
-        fault(path + ".address", quote(upstream.address().toString()), "also at " + earlier);
+        addFault(path + ".address", quote(upstream.address().toString()), "also at " + earlier);
       }
       checkAddress(upstream, path);
       checkKind(upstream, path);
@@ -118,7 +118,7 @@
 
   private void checkAddress(Upstream upstream, String path) {
     if (!IpLiterals.isIpLiteral(upstream.address().host())) {
-      fault(
+      addFault(
           path + ".address",
           quote(upstream.address().toString()),
           "must be an IP address and a port, such as 10.0.0.1:8000 or [fd00::1]:8000");
@@ -131,39 +131,39 @@
       return;
     }
     if (upstream.service().flatMap(document::service).isEmpty()) {
-      fault(
+      addFault(
           path + ".service",
           upstream.service().map(DocumentRules::quote).orElse("nothing"),
           "a service runner must name a service of this document");
     }
     if (upstream.accelerators() > 0 || upstream.memoryMegabytes() > 0) {
-      fault(path, "accelerators or memory", "a service runner must have neither");
+      addFault(path, "accelerators or memory", "a service runner must have neither");
     }
   }
 
   private void checkModelRunner(Upstream upstream, String path) {
     if (upstream.service().isPresent()) {
-      fault(
+      addFault(
           path + ".service",
           quote(upstream.service().get()),
           "a model runner must not name a service");
     }
     if (upstream.accelerators() < 1) {
-      fault(path + ".accelerators", "0", "a model runner must have at least 1");
+      addFault(path + ".accelerators", "0", "a model runner must have at least 1");
     }
     if (upstream.memoryMegabytes() < 1) {
-      fault(path + ".memoryMegabytes", "0", "a model runner must have at least 1");
+      addFault(path + ".memoryMegabytes", "0", "a model runner must have at least 1");
     }
   }
 
-  private void unique(Map<String, String> firstPaths, String name, String path) {
+  private void checkUnique(Map<String, String> firstPaths, String name, String path) {
     String earlier = firstPaths.putIfAbsent(name, path);
     if (earlier != null) {
-      fault(path + ".name", quote(name), "names must be unique; also at " + earlier);
+      addFault(path + ".name", quote(name), "names must be unique; also at " + earlier);
     }
   }
 
-  private void fault(String path, String found, String rule) {
+  private void addFault(String path, String found, String rule) {
     faults.add(new ConfigurationFault(path, found, rule));
   }
 
--- a/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
+++ b/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
@@ -124,23 +124,23 @@
     long available = runners.stream().mapToLong(Upstream::memoryMegabytes).sum();
     Map<VersionId, Long> sizes = new HashMap<>();
     requirements.forEach(each -> sizes.put(each.version(), each.megabytes()));
-    List<String> left = new ArrayList<>();
+    List<String> freeMegabytes = new ArrayList<>();
     for (Upstream runner : runners) {
       long taken = attempt.packing().get(runner.name()).stream().mapToLong(sizes::get).sum();
-      left.add(runner.name() + " " + (runner.memoryMegabytes() - taken));
+      freeMegabytes.add(runner.name() + " " + (runner.memoryMegabytes() - taken));
     }
     List<ConfigurationFault> faults = new ArrayList<>();
     Set<String> seen = new HashSet<>();
     for (Requirement requirement : attempt.unplaced()) {
       if (seen.add(requirement.path())) {
-        faults.add(fault(requirement, needed, available, left));
+        faults.add(fault(requirement, needed, available, freeMegabytes));
       }
     }
     return faults;
   }
 
   private static ConfigurationFault fault(
-      Requirement requirement, long needed, long available, List<String> left) {
+      Requirement requirement, long needed, long available, List<String> freeMegabytes) {
     String found =
         requirement.version()
             + " needs "
@@ -154,7 +154,7 @@
             + " MB and the runners have "
             + available
             + " MB; MB left on each runner after packing the others: "
-            + String.join(", ", left);
+            + String.join(", ", freeMegabytes);
     return new ConfigurationFault(requirement.path(), found, rule);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
@@ -93,12 +93,12 @@
       return;
     }
     if (failure != null) {
-      end(history.finalFailure(AgatefieldException.from(failure)));
+      endWithFailure(history.finalFailure(AgatefieldException.from(failure)));
       return;
     }
     dispatch = acquired;
     if (!history.accepts(acquired.version(), answer.writtenTokens())) {
-      end(DispatchOutcome.CANCELLED, history.finalFailure(history.versionUnavailable()));
+      endWithFailure(DispatchOutcome.CANCELLED, history.finalFailure(history.versionUnavailable()));
       return;
     }
     prepare();
@@ -148,16 +148,16 @@
         failure.kind(),
         failure.getMessage());
     if (failure instanceof EngineRefusal refusal) {
-      refused(refusal);
+      handleRefusal(refusal);
       return;
     }
     boolean unreachable = failure.kind() == ErrorKind.NO_UPSTREAM;
     retry(unreachable ? DispatchOutcome.UNREACHABLE : DispatchOutcome.FAILED, failure);
   }
 
-  private void refused(EngineRefusal refusal) {
+  private void handleRefusal(EngineRefusal refusal) {
     if (refusal.reason() == EngineRefusalReason.INVALID) {
-      end(DispatchOutcome.CANCELLED, refusal);
+      endWithFailure(DispatchOutcome.CANCELLED, refusal);
     } else if (refusal.reason() == EngineRefusalReason.ADAPTER_NOT_LOADED && !adapterOrdered) {
       adapterOrdered = true;
       loadAdapter();
@@ -180,7 +180,7 @@
     attemptsWithoutProgress++;
     boolean mayResume = answer.writtenTokens() == 0 || task.body().isResumable();
     if (attemptsWithoutProgress >= MAXIMUM_ATTEMPTS_WITHOUT_PROGRESS || !mayResume) {
-      end(outcome, history.finalFailure(failure));
+      endWithFailure(outcome, history.finalFailure(failure));
       return;
     }
     dependencies.metrics().counter("agatefield.callers.retried-attempts").inc();
@@ -195,32 +195,32 @@
       return;
     }
     history.interrupted(call != null, answer.writtenTokens());
-    end(DispatchOutcome.TIMED_OUT, history.deadlineFailure());
+    endWithFailure(DispatchOutcome.TIMED_OUT, history.deadlineFailure());
   }
 
   private void callerDisconnected() {
     if (!completed) {
-      finish(DispatchOutcome.CANCELLED);
+      releaseResources(DispatchOutcome.CANCELLED);
       onCompletion.run();
     }
   }
 
-  private void end(AgatefieldException failure) {
-    end(DispatchOutcome.CANCELLED, failure);
+  private void endWithFailure(AgatefieldException failure) {
+    endWithFailure(DispatchOutcome.CANCELLED, failure);
   }
 
-  private void end(DispatchOutcome outcome, AgatefieldException failure) {
-    finish(outcome);
+  private void endWithFailure(DispatchOutcome outcome, AgatefieldException failure) {
+    releaseResources(outcome);
     dependencies.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
     answer.fail(failure).onComplete(ignored -> onCompletion.run());
   }
 
   private void succeeded() {
-    finish(DispatchOutcome.SUCCEEDED);
+    releaseResources(DispatchOutcome.SUCCEEDED);
     answer.succeed().onComplete(ignored -> onCompletion.run());
   }
 
-  private void finish(DispatchOutcome outcome) {
+  private void releaseResources(DispatchOutcome outcome) {
     completed = true;
     dependencies.vertx().cancelTimer(deadlineTimer);
     acquisition.cancel(true);
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationBodyReader.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationBodyReader.java
@@ -71,7 +71,7 @@
         throw invalid("body", "must be a JSON object");
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
-        field(parser);
+        readField(parser);
       }
       if (parser.nextToken() != null) {
         throw invalid("body", "must be one JSON object and nothing after it");
@@ -79,7 +79,7 @@
     }
   }
 
-  private void field(JsonParser parser) throws IOException {
+  private void readField(JsonParser parser) throws IOException {
     String name = parser.currentName();
     JsonToken value = parser.nextToken();
     if (name.equals(promptField)) {
@@ -205,7 +205,7 @@
     return hashes;
   }
 
-  private static AgatefieldException invalid(String field, String rule) {
-    return new AgatefieldException(ErrorKind.INVALID_REQUEST, field + ": " + rule);
+  private static AgatefieldException invalid(String readField, String rule) {
+    return new AgatefieldException(ErrorKind.INVALID_REQUEST, readField + ": " + rule);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/peers/CompressedJson.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/CompressedJson.java
@@ -23,7 +23,7 @@
   private static final Logger LOGGER = LogManager.getLogger(CompressedJson.class);
   private static final int MAXIMUM_BYTES = 4_194_304;
   // Compressing fewer bytes saves too little to be worth its set-up time.
-  private static final int LARGEST_PLAIN_BYTES = 1_024;
+  private static final int MAXIMUM_UNCOMPRESSED_BYTES = 1_024;
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private CompressedJson() {}
@@ -37,7 +37,7 @@
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try {
       byte[] json = mapper.writeValueAsBytes(value);
-      if (json.length <= LARGEST_PLAIN_BYTES) {
+      if (json.length <= MAXIMUM_UNCOMPRESSED_BYTES) {
         return json;
       }
       try (GZIPOutputStream compressed = new GZIPOutputStream(bytes)) {
@@ -53,7 +53,7 @@
   /** Returns the JSON tree; logs a warning and returns empty if the bytes contain none. */
   public static Optional<JsonNode> decompress(byte[] bytes) {
     try {
-      return Optional.of(MAPPER.readTree(expand(bytes)));
+      return Optional.of(MAPPER.readTree(decompressIfNeeded(bytes)));
     } catch (IOException | AgatefieldException exception) {
       LOGGER.warn("received invalid JSON content from a peer", exception);
       return Optional.empty();
@@ -66,7 +66,7 @@
    * @throws AgatefieldException if the text exceeds the maximum document size
    * @throws IOException if the compressed bytes are malformed
    */
-  static byte[] expand(byte[] bytes) throws IOException {
+  static byte[] decompressIfNeeded(byte[] bytes) throws IOException {
     if (!isCompressed(bytes)) {
       return bytes;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/peers/ConfigurationSynchronizer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/ConfigurationSynchronizer.java
@@ -27,7 +27,7 @@
 final class ConfigurationSynchronizer {
   static final int GATEWAYS = 2;
   private static final long REMOTE_DELAY_MILLISECONDS = 250;
-  private static final long REQUEST_MILLISECONDS = 1_000;
+  private static final long REQUEST_TIMEOUT_MILLISECONDS = 1_000;
   private static final Logger LOGGER = LogManager.getLogger(ConfigurationSynchronizer.class);
 
   private final Instance self;
@@ -126,7 +126,7 @@
     long generation = source.current().generation();
     transport
         .request(holder.peerAddress(), new PeerMessage.ConfigurationRequest(generation))
-        .orTimeout(REQUEST_MILLISECONDS, TimeUnit.MILLISECONDS)
+        .orTimeout(REQUEST_TIMEOUT_MILLISECONDS, TimeUnit.MILLISECONDS)
         .whenCompleteAsync((answer, failure) -> fetched(holder, answer, failure), loop);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/peers/DocumentCodec.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/DocumentCodec.java
@@ -30,7 +30,8 @@
 
   static ConfigurationDocument decode(byte[] bytes) {
     try {
-      return MAPPER.readValue(CompressedJson.expand(bytes), ConfigurationDocument.class);
+      return MAPPER.readValue(
+          CompressedJson.decompressIfNeeded(bytes), ConfigurationDocument.class);
     } catch (IOException exception) {
       throw new AgatefieldException(
           ErrorKind.INTERNAL,
--- a/daemon/src/main/java/org/agatefield/daemon/peers/LeavingUpstreams.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/LeavingUpstreams.java
@@ -21,7 +21,7 @@
  * milliseconds.
  */
 final class LeavingUpstreams {
-  static final long NOTICE_MILLISECONDS = 60_000;
+  static final long NOTICE_LIFETIME_MILLISECONDS = 60_000;
   static final int NOTICES_PER_MESSAGE = 8;
   private static final int MAXIMUM_NOTICES = 4_096;
 
@@ -40,8 +40,8 @@
     listedUpstreams.addAll(removedFromList(snapshot));
     for (String name : snapshot.leavingUpstreams()) {
       Notice notice = notices.get(name);
-      if (notice == null || notice.deadline - now < NOTICE_MILLISECONDS / 2) {
-        put(name, now + NOTICE_MILLISECONDS, transmissions);
+      if (notice == null || notice.deadline - now < NOTICE_LIFETIME_MILLISECONDS / 2) {
+        put(name, now + NOTICE_LIFETIME_MILLISECONDS, transmissions);
       }
     }
   }
@@ -66,12 +66,13 @@
    * Adds the notices of another instance; returns whether any of them was new or extended an
    * earlier one.
    */
-  boolean receiveNotices(List<PeerMessage.LeavingUpstream> received, long now, int transmissions) {
+  boolean addNotices(List<PeerMessage.LeavingUpstream> received, long now, int transmissions) {
     boolean changed = false;
     for (PeerMessage.LeavingUpstream upstream : received) {
-      long remaining = Math.min(upstream.remainingMilliseconds(), NOTICE_MILLISECONDS);
+      long remaining = Math.min(upstream.remainingMilliseconds(), NOTICE_LIFETIME_MILLISECONDS);
       Notice notice = notices.get(upstream.name());
-      boolean later = notice == null || notice.deadline + NOTICE_MILLISECONDS / 4 < now + remaining;
+      boolean later =
+          notice == null || notice.deadline + NOTICE_LIFETIME_MILLISECONDS / 4 < now + remaining;
       if (remaining > 0 && later && notices.size() < MAXIMUM_NOTICES) {
         put(upstream.name(), now + remaining, transmissions);
         changed = true;
--- a/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
@@ -43,7 +43,7 @@
  */
 public final class PeerCoordinator implements InstanceDirectory, DemandDirectory, AutoCloseable {
   private static final long LIST_INTERVAL_MILLISECONDS = 1_000;
-  private static final long SHUTDOWN_MILLISECONDS = 2_000;
+  private static final long SHUTDOWN_TIMEOUT_MILLISECONDS = 2_000;
 
   private final Closer closer = new Closer();
   private final EventLoop loop;
@@ -84,7 +84,7 @@
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("peers", true), NioIoHandler.newFactory());
     closer.register(
-        () -> group.shutdownGracefully(0, SHUTDOWN_MILLISECONDS, TimeUnit.MILLISECONDS));
+        () -> group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MILLISECONDS, TimeUnit.MILLISECONDS));
     this.loop = (EventLoop) group.next();
     this.transport = openTransport(group, self, tls);
     this.members =
@@ -231,7 +231,7 @@
     @Override
     public void received(PeerMessage message) {
       if (message instanceof PeerMessage.Membership step) {
-        if (leavingUpstreams.receiveNotices(step.leavingUpstreams(), now(), transmissions())) {
+        if (leavingUpstreams.addNotices(step.leavingUpstreams(), now(), transmissions())) {
           upstreamsChanged();
         }
         members.received(step);
--- a/settings/src/main/java/org/agatefield/settings/SettingsTable.java
+++ b/settings/src/main/java/org/agatefield/settings/SettingsTable.java
@@ -57,10 +57,10 @@
   String text(String key, Pattern pattern, String rule) {
     JsonNode value = value(key);
     if (value.isMissingNode()) {
-      return missing(key, rule);
+      return addMissingFault(key, rule);
     }
     if (!value.isTextual() || !pattern.matcher(value.textValue()).matches()) {
-      return fault(key, value.toString(), rule);
+      return addFault(key, value.toString(), rule);
     }
     return value.textValue();
   }
@@ -71,7 +71,7 @@
       return defaultValue;
     }
     if (!value.isTextual() || !allowed.contains(value.textValue())) {
-      fault(key, value.toString(), "one of " + String.join(", ", allowed));
+      addFault(key, value.toString(), "one of " + String.join(", ", allowed));
       return defaultValue;
     }
     return value.textValue();
@@ -88,7 +88,7 @@
             && value.longValue() >= minimum
             && value.longValue() <= maximum;
     if (!inRange) {
-      fault(key, value.toString(), "a whole number from " + minimum + " to " + maximum);
+      addFault(key, value.toString(), "a whole number from " + minimum + " to " + maximum);
       return defaultValue;
     }
     return value.longValue();
@@ -103,7 +103,7 @@
     boolean inRange =
         value.isNumber() && value.asDouble() >= minimum && value.asDouble() <= maximum;
     if (!inRange) {
-      fault(key, value.toString(), rule);
+      addFault(key, value.toString(), rule);
       return defaultValue;
     }
     return value.asDouble();
@@ -127,7 +127,7 @@
   Address address(String key) {
     JsonNode value = value(key);
     if (value.isMissingNode()) {
-      missing(key, ADDRESS_RULE);
+      addMissingFault(key, ADDRESS_RULE);
       return PLACEHOLDER_ADDRESS;
     }
     return parseAddress(key, value).orElse(PLACEHOLDER_ADDRESS);
@@ -141,11 +141,11 @@
   Path readableFile(String key) {
     JsonNode value = value(key);
     if (value.isMissingNode()) {
-      missing(key, FILE_RULE);
+      addMissingFault(key, FILE_RULE);
       return PLACEHOLDER_FILE;
     }
     if (!value.isTextual() || !isReadable(value.textValue())) {
-      fault(key, value.toString(), FILE_RULE);
+      addFault(key, value.toString(), FILE_RULE);
       return PLACEHOLDER_FILE;
     }
     return Path.of(value.textValue());
@@ -165,7 +165,7 @@
       return List.of();
     }
     if (!value.isArray()) {
-      fault(key, value.toString(), "a list of " + ADDRESS_RULE);
+      addFault(key, value.toString(), "a list of " + ADDRESS_RULE);
       return List.of();
     }
     List<Address> addresses = new ArrayList<>();
@@ -181,7 +181,7 @@
         .forEachRemaining(
             key -> {
               if (!knownKeys.contains(key)) {
-                fault(key, "an unknown key", "only " + String.join(", ", sortedKnownKeys()));
+                addFault(key, "an unknown key", "only " + String.join(", ", sortedKnownKeys()));
               }
             });
   }
@@ -198,22 +198,22 @@
   private Optional<Address> parseAddress(String key, JsonNode value) {
     boolean wellFormed = value.isTextual() && IP_ADDRESS.matcher(value.textValue()).matches();
     if (!wellFormed) {
-      fault(key, value.toString(), ADDRESS_RULE);
+      addFault(key, value.toString(), ADDRESS_RULE);
       return Optional.empty();
     }
     try {
       return Optional.of(Address.parse(value.textValue()));
     } catch (IllegalArgumentException exception) {
-      fault(key, value.toString(), ADDRESS_RULE);
+      addFault(key, value.toString(), ADDRESS_RULE);
       return Optional.empty();
     }
   }
 
-  private String missing(String key, String rule) {
-    return fault(key, "nothing", rule);
+  private String addMissingFault(String key, String rule) {
+    return addFault(key, "nothing", rule);
   }
 
-  private String fault(String key, String found, String rule) {
+  private String addFault(String key, String found, String rule) {
     String fullKey = name + "." + key;
     faults.add(new SettingsFault(file, lines.lineOf(fullKey), fullKey, found, rule));
     return "";
