--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
@@ -18,10 +18,10 @@
 /**
  * The HTTP API for callers.
  *
- * <p>Invariants: every request is answered once, with a complete answer or with an {@link
- * ErrorKind} and whether the request ran; a request registered with the {@link ShutdownCoordinator}
- * is deregistered when nothing of it is running any more. Safe for use by any thread; each request
- * is confined to its context.
+ * <p>Invariants: every request is answered once, with a complete answer or with an error that has
+ * an {@link ErrorKind} and states whether the request ran; a request registered with the {@link
+ * ShutdownCoordinator} is deregistered when nothing of it is running any more. Safe for use by any
+ * thread; each request is confined to its context.
  */
 public final class CallerApi {
   private static final Logger LOGGER = LogManager.getLogger(CallerApi.class);
