--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApiDependencies.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApiDependencies.java
@@ -8,7 +8,7 @@
 import org.agatefield.daemon.core.EntryDirectory;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.NonRepeatableCalls;
+import org.agatefield.daemon.core.NonRepeatableCallExecutor;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.settings.DaemonSettings;
 
@@ -34,7 +34,7 @@
     Dispatcher dispatcher,
     EngineClient engines,
     AdapterLoader adapterLoader,
-    NonRepeatableCalls nonRepeatableCalls,
+    NonRepeatableCallExecutor nonRepeatableCalls,
     EntryDirectory entries,
     InstanceDirectory instances,
     ShutdownCoordinator shutdown,
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerAuthenticator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerAuthenticator.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import org.agatefield.daemon.core.ConfigurationSource;
-import org.agatefield.daemon.core.UpstreamKeys;
+import org.agatefield.daemon.core.UpstreamIdempotencyKeys;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.Caller;
 import org.agatefield.model.ConfigurationDocument;
@@ -21,7 +21,7 @@
  */
 final class CallerAuthenticator {
   private static final Caller ANONYMOUS =
-      new Caller(UpstreamKeys.ANONYMOUS_CALLER, "", 1, Priority.INTERACTIVE);
+      new Caller(UpstreamIdempotencyKeys.ANONYMOUS_CALLER, "", 1, Priority.INTERACTIVE);
   private static final String SCHEME = "Bearer ";
 
   private volatile Map<String, Caller> callersByToken = Map.of();
--- a/daemon/src/main/java/org/agatefield/daemon/http/DirectoryHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/DirectoryHandler.java
@@ -6,7 +6,7 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.ext.web.RoutingContext;
 import java.util.Optional;
-import org.agatefield.daemon.core.EntryAnswer;
+import org.agatefield.daemon.core.EntryAddresses;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ConfigurationDocument;
@@ -50,7 +50,7 @@
   void entries(RoutingContext context) {
     Optional<String> model = Optional.ofNullable(context.request().getParam("model"));
     Optional<String> region = Optional.ofNullable(context.request().getParam("region"));
-    EntryAnswer entries = dependencies.entries().entriesFor(model, region);
+    EntryAddresses entries = dependencies.entries().entriesFor(model, region);
     if (entries.addresses().contains(dependencies.instances().self().callerAddress())) {
       dependencies.shutdown().recordEntryAnswer();
     }
--- a/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
@@ -272,7 +272,7 @@
       }
       if (!answered) {
         answered = true;
-        dispatch.firstAnswerPart();
+        dispatch.responseStarted();
       }
       int before = answer.writtenTokens();
       answer.accept(part);
--- a/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
@@ -14,8 +14,8 @@
 import org.agatefield.daemon.calls.OutcomeQuery;
 import org.agatefield.daemon.core.ConfigurationSource;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceExchange;
-import org.agatefield.daemon.core.UpstreamKeys;
+import org.agatefield.daemon.core.ServiceResponse;
+import org.agatefield.daemon.core.UpstreamIdempotencyKeys;
 import org.agatefield.model.Upstream;
 
 /**
@@ -40,13 +40,13 @@
   }
 
   @Override
-  public CompletableFuture<Optional<ServiceExchange>> ask(NonRepeatableCall call) {
+  public CompletableFuture<Optional<ServiceResponse>> ask(NonRepeatableCall call) {
     Optional<String> template = call.service().outcomePath();
     if (template.isEmpty()) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
     String key =
-        URLEncoder.encode(UpstreamKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
+        URLEncoder.encode(UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
     UpstreamServiceRequest statusRequest =
         new UpstreamServiceRequest(
             HttpMethod.GET,
@@ -63,7 +63,7 @@
         .toList();
   }
 
-  private CompletableFuture<Optional<ServiceExchange>> queryNext(
+  private CompletableFuture<Optional<ServiceResponse>> queryNext(
       Iterator<Upstream> runners, UpstreamServiceRequest statusRequest) {
     if (!runners.hasNext()) {
       return CompletableFuture.completedFuture(Optional.empty());
@@ -78,7 +78,7 @@
                     : queryNext(runners, statusRequest));
   }
 
-  private static Optional<ServiceExchange> outcome(ServiceExchange exchange, Throwable failure) {
+  private static Optional<ServiceResponse> outcome(ServiceResponse exchange, Throwable failure) {
     return failure == null && exchange.status() == FOUND ? Optional.of(exchange) : Optional.empty();
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.daemon.core.Dispatch;
 import org.agatefield.daemon.core.DispatchOutcome;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
@@ -24,7 +24,7 @@
   private final ServiceRequest request;
   private final UpstreamServiceRequest upstreamRequest;
   private final AttemptHistory history = new AttemptHistory();
-  private final CompletableFuture<ServiceExchange> result = new CompletableFuture<>();
+  private final CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
   private CompletableFuture<?> running;
   private int attempts;
 
@@ -39,7 +39,7 @@
     this.upstreamRequest = upstreamRequest;
   }
 
-  CompletableFuture<ServiceExchange> begin() {
+  CompletableFuture<ServiceResponse> begin() {
     result.whenComplete((exchange, failure) -> cancelRunning());
     acquire(dependencies.dispatcher().acquire(request));
     return result;
@@ -64,7 +64,7 @@
       attempts++;
       history.sent(dispatch.version());
     }
-    CompletableFuture<ServiceExchange> exchange =
+    CompletableFuture<ServiceResponse> exchange =
         client.send(dispatch.upstream().address(), upstreamRequest);
     setRunning(exchange);
     exchange.whenComplete(
@@ -77,7 +77,7 @@
         });
   }
 
-  private void answered(Dispatch dispatch, ServiceExchange answer) {
+  private void answered(Dispatch dispatch, ServiceResponse answer) {
     if (answer.status() == STATUS_UNAVAILABLE && mayRetry()) {
       dependencies
           .dispatcher()
@@ -92,7 +92,7 @@
               });
       return;
     }
-    dispatch.firstAnswerPart();
+    dispatch.responseStarted();
     boolean rejected = answer.status() == STATUS_UNAVAILABLE;
     dispatch.finished(rejected ? DispatchOutcome.REJECTED : DispatchOutcome.SUCCEEDED);
     result.complete(answer);
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpServerResponse;
 import io.vertx.ext.web.RoutingContext;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
@@ -20,7 +20,7 @@
   private final Context context;
   private final HttpServerResponse response;
   private final RequestAttributes attributes;
-  private final CompletableFuture<ServiceExchange> answer;
+  private final CompletableFuture<ServiceResponse> answer;
   private final Runnable onCompletion;
   private long deadlineTimer;
   private boolean completed;
@@ -29,7 +29,7 @@
       CallerApiDependencies dependencies,
       RoutingContext routing,
       RequestAttributes attributes,
-      CompletableFuture<ServiceExchange> answer,
+      CompletableFuture<ServiceResponse> answer,
       Runnable onCompletion) {
     this.dependencies = dependencies;
     this.context = dependencies.vertx().getOrCreateContext();
@@ -54,7 +54,7 @@
     }
   }
 
-  private void answered(ServiceExchange exchange, Throwable failure) {
+  private void answered(ServiceResponse exchange, Throwable failure) {
     if (completed) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceHandler.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.UpstreamKeys;
+import org.agatefield.daemon.core.UpstreamIdempotencyKeys;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 import org.agatefield.model.PlainService;
@@ -48,7 +48,7 @@
     PlainService service = service(context.pathParam("name"));
     String target = request.uri().substring("/services/".length() + service.name().length());
     String path = target.startsWith("/") ? target : "/" + target;
-    CompletableFuture<ServiceExchange> answer;
+    CompletableFuture<ServiceResponse> answer;
     if (service.isRepeatable(request.method().name(), pathOnly(path))) {
       answer = repeatable(request, service, path, attributes, body);
     } else {
@@ -73,7 +73,7 @@
     return query < 0 ? path : path.substring(0, query);
   }
 
-  private CompletableFuture<ServiceExchange> repeatable(
+  private CompletableFuture<ServiceResponse> repeatable(
       HttpServerRequest request,
       PlainService service,
       String path,
@@ -86,7 +86,7 @@
   }
 
   /** Returns a copy of the call's future, so that cancelling it does not affect the call. */
-  private CompletableFuture<ServiceExchange> nonRepeatable(
+  private CompletableFuture<ServiceResponse> nonRepeatable(
       HttpServerRequest request,
       PlainService service,
       String path,
@@ -169,16 +169,16 @@
     headers.put("X-Request-Id", attributes.requestId());
     String key = request.getHeader(KEY_HEADER);
     if (key != null) {
-      headers.put(KEY_HEADER, UpstreamKeys.of(attributes.caller().name(), key));
+      headers.put(KEY_HEADER, UpstreamIdempotencyKeys.of(attributes.caller().name(), key));
     }
     Duration timeout = Duration.ofMillis(service.timeoutMilliseconds());
     return new UpstreamServiceRequest(request.method(), path, headers, body, timeout);
   }
 
   /** Writes a complete answer; the result completes when it is written to the connection. */
-  static Future<Void> write(HttpServerResponse response, ServiceExchange exchange) {
+  static Future<Void> write(HttpServerResponse response, ServiceResponse exchange) {
     response.setStatusCode(exchange.status());
-    for (ServiceExchange.Header header : exchange.headers()) {
+    for (ServiceResponse.Header header : exchange.headers()) {
       response.headers().add(header.name(), header.value());
     }
     return response.end(exchange.body());
--- a/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
@@ -7,7 +7,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.InvariantMonitor.Promise;
+import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
@@ -157,7 +157,7 @@
     int calls = runningCalls.getAsInt();
     boolean whole = requests == 0 && calls == 0;
     monitor.check(
-        Promise.GRACEFUL_SHUTDOWN,
+        Invariant.GRACEFUL_SHUTDOWN,
         whole,
         () ->
             "still running after the drain timeout of "
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
@@ -62,19 +62,19 @@
   }
 
   /** Sends a call that may be sent again. */
-  CompletableFuture<ServiceExchange> send(Address runner, UpstreamServiceRequest upstreamRequest) {
+  CompletableFuture<ServiceResponse> send(Address runner, UpstreamServiceRequest upstreamRequest) {
     return connect(pooled, runner, upstreamRequest);
   }
 
   /** Sends a call that must not be sent again. */
-  CompletableFuture<ServiceExchange> sendOnce(
+  CompletableFuture<ServiceResponse> sendOnce(
       Address runner, UpstreamServiceRequest upstreamRequest) {
     return connect(unpooled, runner, upstreamRequest);
   }
 
-  private static CompletableFuture<ServiceExchange> connect(
+  private static CompletableFuture<ServiceResponse> connect(
       HttpClient client, Address runner, UpstreamServiceRequest upstreamRequest) {
-    CompletableFuture<ServiceExchange> result = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
     RequestOptions target =
         new RequestOptions()
             .setMethod(upstreamRequest.method())
@@ -92,7 +92,7 @@
       HttpClientRequest request,
       UpstreamServiceRequest upstreamRequest,
       Address runner,
-      CompletableFuture<ServiceExchange> result) {
+      CompletableFuture<ServiceResponse> result) {
     upstreamRequest.headers().forEach(request::putHeader);
     request.idleTimeout(upstreamRequest.timeout().toMillis());
     result.whenComplete((done, failure) -> resetIfUnfinished(request, result));
@@ -104,7 +104,7 @@
   }
 
   private static void resetIfUnfinished(
-      HttpClientRequest request, CompletableFuture<ServiceExchange> result) {
+      HttpClientRequest request, CompletableFuture<ServiceResponse> result) {
     if (result.isCompletedExceptionally()) {
       request.reset();
     }
@@ -128,14 +128,14 @@
   /** Collects one answer up to the maximum size. Confined to the context of the response. */
   private static final class AnswerCollector {
     private final HttpClientResponse response;
-    private final Promise<ServiceExchange> promise = Promise.promise();
+    private final Promise<ServiceResponse> promise = Promise.promise();
     private final Buffer body = Buffer.buffer();
 
     private AnswerCollector(HttpClientResponse response) {
       this.response = response;
     }
 
-    private Future<ServiceExchange> collect() {
+    private Future<ServiceResponse> collect() {
       response.exceptionHandler(promise::tryFail);
       response.handler(this::append);
       response.endHandler(ignored -> promise.tryComplete(exchange()));
@@ -153,14 +153,14 @@
       body.appendBuffer(bytes);
     }
 
-    private ServiceExchange exchange() {
-      List<ServiceExchange.Header> headers = new ArrayList<>();
+    private ServiceResponse exchange() {
+      List<ServiceResponse.Header> headers = new ArrayList<>();
       for (Map.Entry<String, String> header : response.headers()) {
         if (!HOP_BY_HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
-          headers.add(new ServiceExchange.Header(header.getKey(), header.getValue()));
+          headers.add(new ServiceResponse.Header(header.getKey(), header.getValue()));
         }
       }
-      return new ServiceExchange(response.statusCode(), headers, body);
+      return new ServiceResponse(response.statusCode(), headers, body);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApiDependencies.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApiDependencies.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.agatefield.daemon.configuration.ConfigurationKeeper;
+import org.agatefield.daemon.configuration.ConfigurationManager;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.LeaseView;
@@ -19,7 +19,7 @@
  * @param drain starts a graceful shutdown of this instance; completes when it has started
  */
 public record OperatorApiDependencies(
-    ConfigurationKeeper configuration,
+    ConfigurationManager configuration,
     InstanceDirectory instances,
     LedgerDirectory ledgers,
     LeaseView plannerLease,
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -99,7 +99,7 @@
           send.address(), MembershipTranslator.toPeer(send.message(), attachments.get()));
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       memberChanged(changed.update());
-    } else if (action instanceof MembershipAction.GenerationHeard heard) {
+    } else if (action instanceof MembershipAction.GenerationObserved heard) {
       generationListener.observed(heard.holder(), heard.generation());
     }
   }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ScheduledStore.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
@@ -27,7 +27,7 @@
  * <p>Answers are lost, with or without effect, and calls may take effect long after they were
  * reported as unknown; reads may return old versions. For use by one thread.
  */
-final class ScheduledStore implements ObjectStore, Executor {
+final class RandomOrderStore implements ObjectStore, Executor {
   /** The mechanisms that a test may disable. */
   enum Mechanism {
     /** Updates are conditional on the version. */
@@ -44,7 +44,7 @@
   private final List<Runnable> pending = new ArrayList<>();
   private int lastVersion;
 
-  ScheduledStore(UniformRandomProvider random, Set<Mechanism> disabled) {
+  RandomOrderStore(UniformRandomProvider random, Set<Mechanism> disabled) {
     this.random = random;
     this.disabled = disabled.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(disabled);
   }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/HeldQuotasTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Simulates a fleet in two regions with network partitions, restarts and delays. */
-class HeldQuotasTest {
+class RegionalQuotaPolicyTest {
   private static final int INSTANCES = 20;
   private static final double REQUEST_TOKENS = 2_400;
   private static final double WINDOW_SECONDS = 8;
@@ -62,9 +62,9 @@
   private record Grant(long at, double tokens) {}
 
   /** An instance; after a restart it is another member with the same name. */
-  private final class Member implements HeldQuotas.Fleet {
+  private final class Member implements RegionalQuotaPolicy.Fleet {
     private final Instance self;
-    private final HeldQuotas quotas;
+    private final RegionalQuotaPolicy quotas;
     private ClientAccount account;
     private final Map<String, Long> unreachableSince = new LinkedHashMap<>();
     private final FleetSize size = new FleetSize(() -> answering().size());
@@ -74,7 +74,7 @@
       this.self = self;
       this.account = account;
       this.quotas =
-          new HeldQuotas(
+          new RegionalQuotaPolicy(
               (delay, task) -> schedule(delay, ifStillRunning(task)),
               () -> now,
               this,
@@ -206,7 +206,7 @@
     for (int index = 0; index < INSTANCES; index++) {
       startMember(index, account);
     }
-    schedule(HeldQuotas.KEEP_MILLISECONDS, this::maintainAll);
+    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::maintainAll);
     runUntil(15_000);
   }
 
@@ -218,9 +218,9 @@
   }
 
   private void maintainAll() {
-    members.values().forEach(member -> member.size.look(now));
+    members.values().forEach(member -> member.size.sample(now));
     members.values().forEach(member -> member.quotas.keep(now));
-    schedule(HeldQuotas.KEEP_MILLISECONDS, this::maintainAll);
+    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::maintainAll);
   }
 
   private void sendRequest(ClientAccount account, Random random, Optional<Integer> region) {
@@ -242,7 +242,7 @@
         decision -> {
           if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
             if (random.nextDouble() < unusedShare) {
-              schedule(200, () -> member.quotas.giveBack(account, REQUEST_TOKENS));
+              schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
           }
@@ -392,8 +392,8 @@
   @Test
   void equalSharesRefuseAnAccountBelowItsQuota() {
     ClientAccount account = account(4_200);
-    FixedShareQuotas quotas =
-        new FixedShareQuotas(
+    EqualShareQuotaPolicy quotas =
+        new EqualShareQuotaPolicy(
             new QuotaTolerance(WINDOW_SECONDS, OVERAGE, SLACK),
             new FleetSize(() -> INSTANCES),
             () -> now);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/AnswerMemoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ResponseMemoryTest.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AnswerMemoryTest {
+class ResponseMemoryTest {
   private static final int MEBIBYTE = 1_048_576;
   private static final int USUAL_BYTES = 100_000;
 
-  private final AnswerMemory memory = new AnswerMemory();
+  private final ResponseMemory memory = new ResponseMemory();
 
   /**
    * Grows answers in turn until each has been refused more memory; returns the peak of the held
    * bytes.
    */
   private long growConcurrently(int answers) {
-    List<AnswerMemory.Share> growing = new ArrayList<>();
+    List<ResponseMemory.Share> growing = new ArrayList<>();
     for (int number = 0; number < answers; number++) {
       growing.add(memory.share());
     }
@@ -32,7 +32,7 @@
     return peakBytes;
   }
 
-  private static boolean isRefusedAt(AnswerMemory.Share share, int holds) {
+  private static boolean isRefusedAt(ResponseMemory.Share share, int holds) {
     boolean refused = !share.hold(holds);
     if (refused) {
       share.release();
@@ -54,8 +54,8 @@
 
   @Test
   void answersOfUsualSizeFitBesideLargeOnes() {
-    AnswerMemory.Share first = memory.share();
-    AnswerMemory.Share second = memory.share();
+    ResponseMemory.Share first = memory.share();
+    ResponseMemory.Share second = memory.share();
     assertTrue(first.hold(15 * MEBIBYTE));
     assertFalse(second.hold(15 * MEBIBYTE));
     assertTrue(memory.share().hold(USUAL_BYTES));
--- a/daemon/src/test/java/org/agatefield/daemon/http/ShutdownCoordinatorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/ShutdownCoordinatorTest.java
@@ -138,7 +138,7 @@
   /** Counts violations. */
   private final class CountingMonitor implements InvariantMonitor {
     @Override
-    public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+    public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
       if (!holds) {
         violations.incrementAndGet();
       }
