--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -1,8 +1,8 @@
 package org.agatefield.daemon.dispatch;
 
 import java.util.Set;
-import org.agatefield.admission.ConcurrencyLimit;
 import org.agatefield.admission.AdaptiveLimit;
+import org.agatefield.admission.ConcurrencyLimit;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
@@ -4,10 +4,10 @@
 import io.vertx.core.Vertx;
 import org.agatefield.daemon.core.ConfigurationSource;
 import org.agatefield.daemon.core.DemandDirectory;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.LeaseView;
-import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.store.ObjectStore;
 
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
@@ -39,7 +39,8 @@
    *
    * @param adoptAnything whether instances adopt every document they receive, even an older one
    */
-  ConcurrentOperatorsSimulation(long seed, Set<RandomOrderStore.Mechanism> disabled, boolean adoptAnything) {
+  ConcurrentOperatorsSimulation(
+      long seed, Set<RandomOrderStore.Mechanism> disabled, boolean adoptAnything) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     this.store = new RandomOrderStore(random, disabled);
     this.history = new ConfigurationHistory(store);
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
@@ -27,7 +27,8 @@
   void simulationsAcceptDocuments() {
     int accepted = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
-      ConcurrentOperatorsSimulation simulation = new ConcurrentOperatorsSimulation(seed, Set.of(), false);
+      ConcurrentOperatorsSimulation simulation =
+          new ConcurrentOperatorsSimulation(seed, Set.of(), false);
       simulation.run();
       accepted += simulation.accepted();
     }
@@ -47,7 +48,9 @@
 
   private static long failures(Set<Mechanism> disabled, boolean adoptAnything) {
     return LongStream.range(0, SEEDS)
-        .filter(seed -> !new ConcurrentOperatorsSimulation(seed, disabled, adoptAnything).run().isEmpty())
+        .filter(
+            seed ->
+                !new ConcurrentOperatorsSimulation(seed, disabled, adoptAnything).run().isEmpty())
         .count();
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Supplier;
-import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.OrderOutcome;
+import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.daemon.forward.wire.RunnerOrder;
 import org.agatefield.daemon.forward.wire.SendTerms;
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public OptionalLong quietMilliseconds(int status, MultiMap headers) {
+    public OptionalLong backoffMilliseconds(int status, MultiMap headers) {
       return OptionalLong.empty();
     }
 
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
@@ -22,13 +22,13 @@
 import org.agatefield.daemon.core.Dispatch;
 import org.agatefield.daemon.core.DispatchOutcome;
 import org.agatefield.daemon.core.Dispatcher;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.ModelRequest;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.FailPointHook;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.Closer;
@@ -110,7 +110,8 @@
     return newInstance(id, hook, outcomes, shortLimits(Duration.ofHours(1)));
   }
 
-  StoreBackedCallExecutor newInstance(String id, FailPointHook hook, OutcomeQuery outcomes, CallLimits limits) {
+  StoreBackedCallExecutor newInstance(
+      String id, FailPointHook hook, OutcomeQuery outcomes, CallLimits limits) {
     aliveInstances.add(id);
     return closer.register(
         new StoreBackedCallExecutor(
