--- a/command/src/main/java/org/agatefield/command/LoadGenerator.java
+++ b/command/src/main/java/org/agatefield/command/LoadGenerator.java
@@ -20,23 +20,24 @@
 import org.agatefield.model.Closer;
 
 /**
- * Starts requests at a steady rate, whether or not earlier ones have been answered.
+ * Generates an open-loop load: starts requests at a constant rate, whether or not earlier ones have
+ * been answered.
  *
- * <p>Times count from the planned start of a request, so that a slow server cannot hide its delays.
- * For use by one thread.
+ * <p>Latencies are measured from the planned start of a request, so that delays of a slow server
+ * are not hidden (coordinated omission). For use by one thread.
  */
 public final class LoadGenerator implements AutoCloseable {
   private static final int MAXIMUM_CONNECTIONS = 1_000;
   private static final int SIGNIFICANT_DIGITS = 3;
-  private static final long LAST_ANSWERS_SECONDS = 60;
+  private static final long FINAL_ANSWERS_TIMEOUT_SECONDS = 60;
   private static final String END_MARKER = "[DONE]";
   private static final int TAIL_BYTES = 32;
 
   /**
-   * When a request was to start. Immutable.
+   * The planned start of a request. Immutable.
    *
-   * @param plannedNanoseconds the monotonic time
-   * @param reported whether its times are reported
+   * @param plannedNanoseconds the planned time on the monotonic clock
+   * @param reported whether the request's latencies are reported
    */
   private record Start(long plannedNanoseconds, boolean reported) {}
 
@@ -64,16 +65,16 @@
     long warmUp = plan.warmUp().toSeconds() * plan.requestsPerSecond();
     long requests = warmUp + plan.duration().toSeconds() * plan.requestsPerSecond();
     long intervalNanoseconds = TimeUnit.SECONDS.toNanos(1) / plan.requestsPerSecond();
-    CountDownLatch answered = new CountDownLatch((int) requests);
-    long begin = System.nanoTime();
+    CountDownLatch pendingAnswers = new CountDownLatch((int) requests);
+    long startNanoseconds = System.nanoTime();
     for (long number = 0; number < requests; number++) {
-      long plannedStart = begin + number * intervalNanoseconds;
+      long plannedStart = startNanoseconds + number * intervalNanoseconds;
       waitUntil(plannedStart);
-      start(plan, new Start(plannedStart, number >= warmUp), answered);
+      start(plan, new Start(plannedStart, number >= warmUp), pendingAnswers);
     }
-    boolean complete = answered.await(LAST_ANSWERS_SECONDS, TimeUnit.SECONDS);
+    boolean complete = pendingAnswers.await(FINAL_ANSWERS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (!complete) {
-      failed.addAndGet(answered.getCount());
+      failed.addAndGet(pendingAnswers.getCount());
     }
     return new LoadReportTable(whole.get(), refused.get(), failed.get(), firstPart, wholeAnswer);
   }
@@ -86,7 +87,7 @@
     }
   }
 
-  private void start(LoadPlan plan, Start start, CountDownLatch answered) {
+  private void start(LoadPlan plan, Start start, CountDownLatch pendingAnswers) {
     RequestOptions options =
         new RequestOptions()
             .setMethod(HttpMethod.POST)
@@ -101,7 +102,7 @@
             request ->
                 request.send(Buffer.buffer(plan.body())).compose(response -> read(response, start)))
         .onFailure(failure -> failed.incrementAndGet())
-        .onComplete(ended -> answered.countDown());
+        .onComplete(ended -> pendingAnswers.countDown());
   }
 
   private Future<Void> read(HttpClientResponse response, Start start) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
@@ -19,11 +19,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One request to a model, from admission to the end of its answer, over one or more attempts.
+ * Processes one model request, from admission to the end of its answer, in one or more attempts.
  *
- * <p>Invariants: the caller's answer is ended exactly once; only the current attempt is heard; when
- * the request is over, its place is given back and nothing of it runs upstream. All state is
- * confined to the context of the caller's request.
+ * <p>Invariants: the caller's answer is ended exactly once; only events of the current attempt have
+ * an effect; once the request has completed, its dispatch is released and no upstream is still
+ * running it. All state is confined to the context of the caller's request.
  */
 final class Generation {
   private static final Logger LOGGER = LogManager.getLogger(Generation.class);
@@ -45,9 +45,9 @@
   private boolean completed;
 
   /**
-   * Creates a request that has not begun.
+   * Creates a request that has not started yet.
    *
-   * @param onCompletion called once when the request is completed and its answer is written
+   * @param onCompletion called once, when the request has completed and its answer is written
    */
   Generation(
       CallerApiDependencies dependencies,
@@ -62,10 +62,10 @@
     this.onCompletion = onCompletion;
   }
 
-  /** Asks for admission; called once, on the context. */
+  /** Requests admission; called once, on the context. */
   void begin(HttpServerResponse response) {
     response.closeHandler(ignored -> callerDisconnected());
-    long remaining = Math.max(1, task.terms().remaining().toMillis());
+    long remaining = Math.max(1, task.attributes().remaining().toMillis());
     deadlineTimer = dependencies.vertx().setTimer(remaining, ignored -> deadlinePassed());
     ModelRequest request = task.toModelRequest();
     acquire(dependencies.dispatcher().acquire(request));
@@ -93,12 +93,12 @@
       return;
     }
     if (failure != null) {
-      end(history.finalFailure(AgatefieldException.from(failure)));
+      endWithFailure(history.finalFailure(AgatefieldException.from(failure)));
       return;
     }
     dispatch = acquired;
     if (!history.accepts(acquired.version(), answer.writtenTokens())) {
-      end(DispatchOutcome.CANCELLED, history.finalFailure(history.versionUnavailable()));
+      endWithFailure(DispatchOutcome.CANCELLED, history.finalFailure(history.versionUnavailable()));
       return;
     }
     prepare();
@@ -141,23 +141,23 @@
     history.failed(failure);
     LOGGER.info(
         "attempt failed request={} attempt={} upstream={} tokens={} kind={} cause=\"{}\"",
-        task.terms().requestId(),
+        task.attributes().requestId(),
         dispatch.attemptNumber(),
         dispatch.upstream().name(),
         answer.writtenTokens(),
         failure.kind(),
         failure.getMessage());
     if (failure instanceof EngineRefusal refusal) {
-      refused(refusal);
+      handleRefusal(refusal);
       return;
     }
     boolean unreachable = failure.kind() == ErrorKind.NO_UPSTREAM;
     retry(unreachable ? DispatchOutcome.UNREACHABLE : DispatchOutcome.FAILED, failure);
   }
 
-  private void refused(EngineRefusal refusal) {
+  private void handleRefusal(EngineRefusal refusal) {
     if (refusal.reason() == EngineRefusalReason.INVALID) {
-      end(DispatchOutcome.CANCELLED, refusal);
+      endWithFailure(DispatchOutcome.CANCELLED, refusal);
     } else if (refusal.reason() == EngineRefusalReason.ADAPTER_NOT_LOADED && !adapterOrdered) {
       adapterOrdered = true;
       loadAdapter();
@@ -166,7 +166,10 @@
     }
   }
 
-  /** The loader may believe a report that is out of date; the engine's word counts. */
+  /**
+   * Orders the adapter although the loader considers it loaded: the loader may have used an
+   * outdated load report, so the engine's refusal takes precedence.
+   */
   private void loadAdapter() {
     Dispatch prepared = dispatch;
     AdapterOrder.send(dependencies, prepared)
@@ -177,7 +180,7 @@
     attemptsWithoutProgress++;
     boolean mayResume = answer.writtenTokens() == 0 || task.body().isResumable();
     if (attemptsWithoutProgress >= MAXIMUM_ATTEMPTS_WITHOUT_PROGRESS || !mayResume) {
-      end(outcome, history.finalFailure(failure));
+      endWithFailure(outcome, history.finalFailure(failure));
       return;
     }
     dependencies.metrics().counter("agatefield.callers.retried-attempts").inc();
@@ -192,32 +195,32 @@
       return;
     }
     history.interrupted(call != null, answer.writtenTokens());
-    end(DispatchOutcome.TIMED_OUT, history.deadlineFailure());
+    endWithFailure(DispatchOutcome.TIMED_OUT, history.deadlineFailure());
   }
 
   private void callerDisconnected() {
     if (!completed) {
-      finish(DispatchOutcome.CANCELLED);
+      releaseResources(DispatchOutcome.CANCELLED);
       onCompletion.run();
     }
   }
 
-  private void end(AgatefieldException failure) {
-    end(DispatchOutcome.CANCELLED, failure);
+  private void endWithFailure(AgatefieldException failure) {
+    endWithFailure(DispatchOutcome.CANCELLED, failure);
   }
 
-  private void end(DispatchOutcome outcome, AgatefieldException failure) {
-    finish(outcome);
+  private void endWithFailure(DispatchOutcome outcome, AgatefieldException failure) {
+    releaseResources(outcome);
     dependencies.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
     answer.fail(failure).onComplete(ignored -> onCompletion.run());
   }
 
   private void succeeded() {
-    finish(DispatchOutcome.SUCCEEDED);
+    releaseResources(DispatchOutcome.SUCCEEDED);
     answer.succeed().onComplete(ignored -> onCompletion.run());
   }
 
-  private void finish(DispatchOutcome outcome) {
+  private void releaseResources(DispatchOutcome outcome) {
     completed = true;
     dependencies.vertx().cancelTimer(deadlineTimer);
     acquisition.cancel(true);
@@ -229,13 +232,13 @@
     }
   }
 
-  /** Hears the answer of one attempt; nothing is heard once another attempt is the current one. */
+  /** Receives the answer of one attempt; ignores events once another attempt is the current one. */
   private final class Attempt implements EngineAnswerListener {
     private boolean answered;
 
     @Override
     public void head(String contentType) {
-      // The first part decides when the caller's answer begins.
+      // The caller's answer begins with the first part.
     }
 
     @Override
