--- a/daemon/src/main/java/org/agatefield/daemon/forward/AdapterSlots.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/AdapterSlots.java
@@ -13,14 +13,15 @@
  * is gone. Confined to one event loop.
  */
 final class AdapterSlots {
-  private static final long KEEP_MILLISECONDS = 4_000; // instances trust a confirmation for less
+  private static final long MINIMUM_RETENTION_MILLISECONDS =
+      4_000; // instances trust a confirmation for less
 
-  private final Map<String, Place> places = new HashMap<>();
+  private final Map<String, Slot> slotsByAdapter = new HashMap<>();
   private int slots;
 
-  private static final class Place {
+  private static final class Slot {
     private long usedAt;
-    private boolean leaving;
+    private boolean unloading;
   }
 
   void setSlots(int count) {
@@ -31,66 +32,66 @@
     return slots;
   }
 
-  int taken() {
-    return places.size();
+  int used() {
+    return slotsByAdapter.size();
   }
 
   boolean holds(String adapter) {
-    return places.containsKey(adapter);
+    return slotsByAdapter.containsKey(adapter);
   }
 
   /** Notes that an adapter is wanted; returns whether it is there and stays. */
-  boolean use(String adapter, long now) {
-    Place place = places.get(adapter);
-    if (place == null || place.leaving) {
+  boolean touch(String adapter, long now) {
+    Slot slot = slotsByAdapter.get(adapter);
+    if (slot == null || slot.unloading) {
       return false;
     }
-    place.usedAt = now;
+    slot.usedAt = now;
     return true;
   }
 
   void loaded(String adapter, long now) {
-    Place place = places.computeIfAbsent(adapter, ignored -> new Place());
-    place.usedAt = now;
-    place.leaving = false;
+    Slot slot = slotsByAdapter.computeIfAbsent(adapter, ignored -> new Slot());
+    slot.usedAt = now;
+    slot.unloading = false;
   }
 
   /** Chooses the adapter that was unused for longest to go; empty if all are in use. */
-  Optional<String> release(long now) {
-    Optional<Map.Entry<String, Place>> oldest =
-        places.entrySet().stream()
-            .filter(entry -> !entry.getValue().leaving)
+  Optional<String> evict(long now) {
+    Optional<Map.Entry<String, Slot>> oldest =
+        slotsByAdapter.entrySet().stream()
+            .filter(entry -> !entry.getValue().unloading)
             .min(Comparator.comparingLong(entry -> entry.getValue().usedAt));
-    if (oldest.isEmpty() || now - oldest.get().getValue().usedAt < KEEP_MILLISECONDS) {
+    if (oldest.isEmpty() || now - oldest.get().getValue().usedAt < MINIMUM_RETENTION_MILLISECONDS) {
       return Optional.empty();
     }
-    oldest.get().getValue().leaving = true;
+    oldest.get().getValue().unloading = true;
     return Optional.of(oldest.get().getKey());
   }
 
   /** The runner kept an adapter that was told to go. */
-  void keep(String adapter) {
-    Place place = places.get(adapter);
-    if (place != null) {
-      place.leaving = false;
+  void retain(String adapter) {
+    Slot slot = slotsByAdapter.get(adapter);
+    if (slot != null) {
+      slot.unloading = false;
     }
   }
 
-  void gone(String adapter) {
-    places.remove(adapter);
+  void removed(String adapter) {
+    slotsByAdapter.remove(adapter);
   }
 
   void forgetModel(String model) {
-    places.keySet().removeIf(adapter -> adapter.startsWith(model + '/'));
+    slotsByAdapter.keySet().removeIf(adapter -> adapter.startsWith(model + '/'));
   }
 
   /** Takes in what the runner says it has or is loading. */
   void reported(Set<String> present) {
-    places.keySet().retainAll(present);
-    present.forEach(adapter -> places.computeIfAbsent(adapter, ignored -> new Place()));
+    slotsByAdapter.keySet().retainAll(present);
+    present.forEach(adapter -> slotsByAdapter.computeIfAbsent(adapter, ignored -> new Slot()));
   }
 
   void clear() {
-    places.clear();
+    slotsByAdapter.clear();
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/CallerResponse.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/CallerResponse.java
@@ -32,7 +32,7 @@
     this.leaving = leaving;
   }
 
-  void deliver(UpstreamResponse answer) {
+  void respond(UpstreamResponse answer) {
     HttpServerResponse response = begin(answer);
     response.end(answer.body());
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ConfigurationTracker.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ConfigurationTracker.java
@@ -13,9 +13,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The configuration in force.
+ * Tracks the configuration in force.
  *
- * <p>Invariant: its version only rises, wherever a version comes from. Confined to one event loop.
+ * <p>Invariant: the version never decreases, whatever its source. Confined to one event loop.
  */
 final class ConfigurationTracker implements InformerListener {
   private static final Logger LOGGER = LogManager.getLogger(ConfigurationTracker.class);
@@ -37,7 +37,7 @@
     return table;
   }
 
-  /** Returns the configuration as it lies in the store. */
+  /** Returns the configuration as stored. */
   Optional<JsonNode> content() {
     return content;
   }
@@ -49,12 +49,12 @@
   @Override
   public void changed(StoredObject object) {
     if (object.key().name().equals(dialect.configurationName())) {
-      learn(object.content(), "store");
+      applyIfNewer(object.content(), "store");
     }
   }
 
-  /** Takes a configuration if it is newer than the one in force. */
-  void learn(JsonNode newContent, String source) {
+  /** Applies a configuration if it is newer than the one in force. */
+  void applyIfNewer(JsonNode newContent, String source) {
     Optional<ForwardingTable> decoded = dialect.decodeTable(newContent);
     if (decoded.isEmpty()) {
       LOGGER.warn("configuration source={} unreadable, version={} stays", source, version());
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -23,20 +23,21 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Gives one model runner its orders, one at a time.
+ * Sends orders to one model runner, one at a time.
  *
- * <p>Every order names how many orders the runner has accepted before. An order whose answer is
- * lost is sent again with the same count, so that of the two at most one takes effect, whenever
- * they arrive. Invariants: an order is sent only under a valid grant; what an unanswered order may
- * still load counts as held. Confined to one event loop.
+ * <p>Every order states how many orders the runner has accepted before. An order whose response is
+ * lost is sent again with the same count, so that at most one of the two takes effect, whenever
+ * they arrive. Invariants: an order is sent only under a valid grant; models that an unanswered
+ * order may still load count as held. Confined to one event loop.
  */
 final class EngineController {
   private static final Logger LOGGER = LogManager.getLogger(EngineController.class);
-  private static final long REPORT_LAG_MILLISECONDS = 350; // reports are some hundred ms old
+  private static final long REPORT_LAG_MILLISECONDS =
+      350; // Reports can be some hundred milliseconds old.
   private static final long POLL_MILLISECONDS = 250;
   private static final long IDLE_POLL_MILLISECONDS = 2_000;
-  private static final long UNLOAD_RETRY_MILLISECONDS = 80; // an idle model is dropped at once
-  private static final long ADAPTER_LOAD_MILLISECONDS = 20; // the sheets say 7 to 13
+  private static final long UNLOAD_RETRY_MILLISECONDS = 80; // Idle models are unloaded immediately.
+  private static final long ADAPTER_LOAD_MILLISECONDS = 20; // The specification gives 7 to 13 ms.
   private static final int MAXIMUM_TRIES = 8;
   private static final int SUCCESS = 200;
 
@@ -47,7 +48,7 @@
   private RunnerEntry runner;
   private final Deque<EngineTask> tasks = new ArrayDeque<>();
   private final AdapterSlots adapters = new AdapterSlots();
-  private final OutstandingOrders late;
+  private final OutstandingOrders outstanding;
   private Set<String> models = new HashSet<>();
   private Set<String> inHostMemory = Set.of();
   private Set<String> onDisk = Set.of();
@@ -59,52 +60,53 @@
   private boolean reading;
   private boolean sending;
   private boolean unloading;
-  private boolean overtaken; // an order that was not counted took effect since the task began
+  private boolean
+      uncountedOrder; // An order that is not in the count took effect after the task began.
   private boolean loadingFromStore;
 
-  /** What orders need of the planner. */
+  /** Provides the planner's lease grant and receives load events. */
   interface Orders {
     /** Returns the grant under which orders may be sent now. */
     Optional<LeaseGrant> grant();
 
-    /** Returns this instance's identifier, as runners are told it. */
+    /** Returns the identifier of this instance that orders carry. */
     String holder();
 
-    /** A runner finished loading a model. */
+    /** Called when a runner has finished loading a model. */
     void loaded(String runner, String model);
 
-    /** A runner is about to drop a model. */
+    /** Called before a runner unloads a model. */
     void dropping(String runner, String model);
   }
 
   /**
-   * Creates the control of a runner that nothing is known of yet.
+   * Creates the controller of a runner whose state is not known yet.
    *
-   * @param late what earlier lives of the runner were ordered to load
+   * @param outstanding loads that were orderAnswered from earlier processes of the runner
    */
   EngineController(
       Vertx vertx,
       HttpClient client,
       RunnerDialect dialect,
       Orders orders,
-      OutstandingOrders late) {
-    this.late = late;
+      OutstandingOrders outstanding) {
+    this.outstanding = outstanding;
     this.vertx = vertx;
     this.calls = new RunnerClient(client, dialect);
     this.dialect = dialect;
     this.orders = orders;
   }
 
-  void update(RunnerEntry entry, boolean newLife, int slots) {
+  void update(RunnerEntry entry, boolean newProcess, int slots) {
     runner = entry;
     adapters.setSlots(slots);
-    if (newLife) {
+    if (newProcess) {
       abandonAll();
       acceptedOrders = -1;
-      late.newLife();
+      outstanding.runnerRestarted();
       adapters.clear();
       busy = false;
-      entry.models().ifPresent(this::holdOnly);
+      entry.models().ifPresent(this::setModels);
     }
     inHostMemory = entry.inHostMemory();
     onDisk = entry.onDisk();
@@ -114,10 +116,10 @@
     return runner;
   }
 
-  /** Returns the models that it holds or may come to hold by an order without an answer. */
+  /** Returns the models that the runner holds or may still load because of an unanswered order. */
   Set<String> possiblyHeld() {
     Set<String> held = new HashSet<>(models);
-    held.addAll(late.models(MonotonicClock.milliseconds()));
+    held.addAll(outstanding.models(MonotonicClock.milliseconds()));
     current.filter(task -> task.action() == Action.LOAD).ifPresent(task -> held.add(task.model()));
     tasks.stream().filter(task -> task.action() == Action.LOAD).forEach(t -> held.add(t.model()));
     return held;
@@ -136,7 +138,7 @@
     return acceptedOrders >= 0 && !busy && current.isEmpty() && tasks.isEmpty();
   }
 
-  /** Returns whether a load from the weight store may be going on. */
+  /** Returns whether a load from the weight store may be in progress. */
   boolean isLoadingFromStore() {
     return isLoading() && loadingFromStore;
   }
@@ -149,7 +151,6 @@
     return task.action() == Action.LOAD && task.adapter().isEmpty();
   }
 
-  /** Begins a move. */
   void begin(ReplicaMove move) {
     loadingFromStore = move.fromStore();
     for (String model : move.unload()) {
@@ -160,14 +161,14 @@
     proceed();
   }
 
-  /** Has an adapter loaded; completes with whether it is there. */
+  /** Requests the load of an adapter; completes with whether the adapter is present. */
   CompletableFuture<Boolean> ensureAdapter(String model, String adapter) {
     String key = model + '/' + adapter;
     long now = MonotonicClock.milliseconds();
     if (!models.contains(model) || acceptedOrders < 0) {
       return CompletableFuture.completedFuture(false);
     }
-    if (adapters.use(key, now)) {
+    if (adapters.touch(key, now)) {
       return CompletableFuture.completedFuture(true);
     }
     Optional<EngineTask> pending =
@@ -180,7 +181,7 @@
     if (isLoading()) {
       return CompletableFuture.completedFuture(false);
     }
-    if (!makeRoom(now)) {
+    if (!ensureSlot(now)) {
       return CompletableFuture.completedFuture(false);
     }
     EngineTask task = new EngineTask(Action.LOAD, model, Optional.of(adapter));
@@ -189,7 +190,9 @@
     return task.done();
   }
 
-  /** Reads the runner's state if what is known is old, and goes on with its tasks. */
+  /**
+   * Reads the runner's state if the last report is too old, and continues with the queued tasks.
+   */
   void tick() {
     long now = MonotonicClock.milliseconds();
     boolean waitingForOrder = current.isPresent() || busy || acceptedOrders < 0;
@@ -207,15 +210,15 @@
     tasks.clear();
   }
 
-  private boolean makeRoom(long now) {
+  private boolean ensureSlot(long now) {
     long pending =
         Stream.concat(current.stream(), tasks.stream())
             .filter(task -> task.adapter().isPresent() && task.action() == Action.LOAD)
             .count();
-    if (adapters.taken() + late.adapters(now) + pending < adapters.slots()) {
+    if (adapters.used() + outstanding.adapters(now) + pending < adapters.slots()) {
       return true;
     }
-    Optional<String> victim = adapters.release(now);
+    Optional<String> victim = adapters.evict(now);
     if (victim.isEmpty()) {
       return false;
     }
@@ -229,7 +232,7 @@
       return;
     }
     current = Optional.of(tasks.poll());
-    overtaken = false;
+    uncountedOrder = false;
     send(current.get());
   }
 
@@ -242,7 +245,8 @@
     boolean adapterWithoutSlot =
         task.adapter().isPresent()
             && task.action() == Action.LOAD
-            && adapters.taken() + late.adapters(MonotonicClock.milliseconds()) >= adapters.slots();
+            && adapters.used() + outstanding.adapters(MonotonicClock.milliseconds())
+                >= adapters.slots();
     if (adapterWithoutSlot) {
       complete(task, false);
       return;
@@ -264,19 +268,19 @@
     sending = true;
     lastOrderAt = MonotonicClock.milliseconds();
     if (task.action() == Action.LOAD) {
-      late.sent(task.load(), lastOrderAt);
+      outstanding.sent(task.load(), lastOrderAt);
     }
     calls
         .order(runner, dialect.encodeOrder(order))
         .whenComplete(
             (answer, failure) -> {
               sending = false;
-              // Reports that were asked for before the answer may be older than the order.
+              // Reports requested before this response may be older than the order.
               lastOrderAt = MonotonicClock.milliseconds();
               OrderOutcome outcome =
                   failure == null ? dialect.orderOutcome(answer.status()) : OrderOutcome.UNKNOWN;
               if (outcome != OrderOutcome.UNKNOWN && task.action() == Action.LOAD) {
-                late.answered(task.load());
+                outstanding.answered(task.load());
               }
               if (failure instanceof ConnectException) {
                 unreachable();
@@ -292,18 +296,18 @@
                   order.fencingToken(),
                   task.tries(),
                   outcome);
-              ordered(task, outcome);
+              orderAnswered(task, outcome);
             });
   }
 
-  /** Plans without the runner until it answers again. */
+  /** Abandons all tasks until the runner responds again. */
   private void unreachable() {
     LOGGER.info("runner={} unreachable", runner.id());
     acceptedOrders = -1;
     abandonAll();
   }
 
-  private void ordered(EngineTask task, OrderOutcome outcome) {
+  private void orderAnswered(EngineTask task, OrderOutcome outcome) {
     if (current.isEmpty() || current.get() != task) {
       return;
     }
@@ -312,21 +316,21 @@
       case ACCEPTED, FULFILLED -> accepted(task, outcome);
       case CONFLICT -> {
         if (afterUnload && task.tries() < MAXIMUM_TRIES / 2) {
-          vertx.setTimer(UNLOAD_RETRY_MILLISECONDS, fired -> sendAgain(task));
+          vertx.setTimer(UNLOAD_RETRY_MILLISECONDS, fired -> resend(task));
         } else {
-          readAgainLater();
+          scheduleReport();
         }
       }
-      case UNKNOWN -> vertx.setTimer(UNLOAD_RETRY_MILLISECONDS, fired -> sendAgain(task));
+      case UNKNOWN -> vertx.setTimer(UNLOAD_RETRY_MILLISECONDS, fired -> resend(task));
       case INVALID -> {
-        acceptedOrders = -1; // read again before any further order
+        acceptedOrders = -1; // Read the report again before sending further orders.
         complete(task, false);
       }
       default -> complete(task, false);
     }
   }
 
-  private void sendAgain(EngineTask task) {
+  private void resend(EngineTask task) {
     if (current.isPresent() && current.get() == task && !sending) {
       send(task);
     }
@@ -337,7 +341,7 @@
     task.accept();
     unloading = task.action() == Action.UNLOAD && task.adapter().isEmpty();
     if (task.adapter().isPresent()) {
-      adapterOrdered(task, outcome);
+      adapterOrderAccepted(task, outcome);
       return;
     }
     if (task.action() == Action.UNLOAD) {
@@ -346,16 +350,16 @@
     }
     boolean moreToCome = unloading && !tasks.isEmpty();
     if (outcome == OrderOutcome.FULFILLED || moreToCome) {
-      // The runner refuses the next order until the unload is done.
+      // The runner refuses the next order until the unload is complete.
       complete(task, true);
       return;
     }
     busy = true;
-    readAgainLater();
+    scheduleReport();
   }
 
-  /** Lets the next order follow at once; requests for the adapter wait until it is there. */
-  private void adapterOrdered(EngineTask task, OrderOutcome outcome) {
+  /** Allows the next order immediately; requests for the adapter wait until it is loaded. */
+  private void adapterOrderAccepted(EngineTask task, OrderOutcome outcome) {
     String key = task.model() + '/' + task.adapter().orElseThrow();
     current = Optional.empty();
     if (task.action() == Action.LOAD) {
@@ -364,14 +368,14 @@
       vertx.setTimer(wait, fired -> task.done().complete(true));
     } else {
       if (outcome == OrderOutcome.FULFILLED) {
-        adapters.gone(key);
+        adapters.removed(key);
       }
       task.done().complete(true);
     }
     proceed();
   }
 
-  private void readAgainLater() {
+  private void scheduleReport() {
     vertx.setTimer(REPORT_LAG_MILLISECONDS, fired -> readReport());
   }
 
@@ -391,23 +395,23 @@
                 LOGGER.debug("runner={} report unread", runner.id());
                 return;
               }
-              dialect.decodeReport(answer.body()).ifPresent(report -> learn(report, askedAt));
+              dialect.decodeReport(answer.body()).ifPresent(report -> applyReport(report, askedAt));
             });
   }
 
-  private void learn(RunnerReport report, long askedAt) {
+  private void applyReport(RunnerReport report, long askedAt) {
     inHostMemory = report.inHostMemory();
     onDisk = report.onDisk();
     boolean settled = askedAt - lastOrderAt >= REPORT_LAG_MILLISECONDS;
     if (!settled || sending) {
       return;
     }
-    final boolean moved = acceptedOrders >= 0 && report.acceptedOrders() > acceptedOrders;
-    overtaken |= moved;
+    final boolean countChanged = acceptedOrders >= 0 && report.acceptedOrders() > acceptedOrders;
+    uncountedOrder |= countChanged;
     acceptedOrders = report.acceptedOrders();
     busy = report.busy();
-    holdOnly(report.models());
-    noteAdapters(report);
+    setModels(report.models());
+    updateAdapters(report);
     if (current.isEmpty()) {
       proceed();
       return;
@@ -418,8 +422,8 @@
     }
     if (isFulfilled(task)) {
       complete(task, true);
-    } else if ((task.isAccepted() && !moved) || (overtaken && loadsModel(task))) {
-      complete(task, false); // what the runner holds is not what was planned with
+    } else if ((task.isAccepted() && !countChanged) || (uncountedOrder && loadsModel(task))) {
+      complete(task, false); // The runner's models differ from those that the plan was based on.
     } else {
       send(task);
     }
@@ -444,7 +448,7 @@
       }
     }
     if (!success && task.adapter().isPresent() && task.action() == Action.UNLOAD) {
-      adapters.keep(task.model() + '/' + task.adapter().get());
+      adapters.retain(task.model() + '/' + task.adapter().get());
     }
     if (!success && task.adapter().isEmpty()) {
       tasks.forEach(each -> each.done().complete(false));
@@ -454,12 +458,12 @@
     proceed();
   }
 
-  private void holdOnly(Iterable<HeldModel> held) {
+  private void setModels(Iterable<HeldModel> held) {
     models = new HashSet<>();
     held.forEach(model -> models.add(model.name()));
   }
 
-  private void noteAdapters(RunnerReport report) {
+  private void updateAdapters(RunnerReport report) {
     Set<String> present = new HashSet<>(report.comingAdapters());
     for (HeldModel model : report.models()) {
       model.adapters().forEach(adapter -> present.add(model.name() + '/' + adapter));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineTask.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineTask.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.daemon.forward.wire.RunnerOrder.Action;
 
-/** A step towards what a runner is to hold. Confined to one event loop. */
+/** One load or unload step for a runner. Confined to one event loop. */
 final class EngineTask {
   private final Action action;
   private final String model;
@@ -31,12 +31,14 @@
     return adapter;
   }
 
-  /** Returns what is loaded or dropped: a model, or an adapter as {@code model/adapter}. */
+  /**
+   * Returns what is loaded or unloaded: a model, or an adapter written as {@code model/adapter}.
+   */
   String load() {
     return adapter.map(name -> model + '/' + name).orElse(model);
   }
 
-  /** Completes with whether the step was carried out. */
+  /** Completes with whether the step succeeded. */
   CompletableFuture<Boolean> done() {
     return done;
   }
@@ -53,7 +55,7 @@
     return accepted;
   }
 
-  /** The runner has accepted the order. */
+  /** Records that the runner has accepted the order. */
   void accept() {
     accepted = true;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
@@ -12,24 +12,27 @@
 import org.agatefield.forwarding.TokenQuota;
 
 /**
- * The baseline: each instance grants an equal part of every quota, whatever it is asked for.
+ * Grants an equal share of every quota on each instance, independent of demand; the baseline
+ * policy.
  *
- * <p>Needs no message, and holds in any cut. Refuses an account below its quota when its requests
- * are few or come to few instances. Confined to one event loop.
+ * <p>Needs no messages and stays within the quota during any network partition. Refuses accounts
+ * below their quota if they send few requests or send them to few instances. Confined to one event
+ * loop.
  */
 final class EqualShareQuotaPolicy implements QuotaPolicy {
-  private static final double EARNING_SECONDS = 30; // a usual request of a small account
+  private static final double REFILL_SECONDS =
+      30; // The time in which a share earns the tokens of a typical request of a small account.
 
   private final QuotaTolerance tolerance;
   private final FleetSize fleet;
   private final LongSupplier clock;
-  private final UnaryOperator<TokenRate> kept;
+  private final UnaryOperator<TokenRate> adjustment;
   private final QuotaBuckets buckets = new QuotaBuckets();
 
   /**
    * Creates a policy.
    *
-   * @param clock gives monotonic milliseconds
+   * @param clock returns monotonic milliseconds
    */
   EqualShareQuotaPolicy(QuotaTolerance tolerance, FleetSize fleet, LongSupplier clock) {
     this(tolerance, fleet, clock, UnaryOperator.identity());
@@ -39,27 +42,33 @@
       QuotaTolerance tolerance,
       FleetSize fleet,
       LongSupplier clock,
-      UnaryOperator<TokenRate> kept) {
+      UnaryOperator<TokenRate> adjustment) {
     this.tolerance = tolerance;
     this.fleet = fleet;
     this.clock = clock;
-    this.kept = kept;
+    this.adjustment = adjustment;
   }
 
-  /** Creates a policy for an instance that is cut off: its part is earned over a longer time. */
-  static EqualShareQuotaPolicy whileCutOff(
+  /**
+   * Creates a policy for an isolated instance, whose bucket accumulates its share over a longer
+   * time.
+   */
+  static EqualShareQuotaPolicy whileIsolated(
       QuotaTolerance tolerance, FleetSize fleet, LongSupplier clock) {
     return new EqualShareQuotaPolicy(
         tolerance,
         fleet,
         clock,
-        part -> new TokenRate(part.perSecond(), EARNING_SECONDS * part.perSecond()));
+        share -> new TokenRate(share.perSecond(), REFILL_SECONDS * share.perSecond()));
   }
 
   @Override
   public void decide(
-      ClientAccount account, double tokens, long patienceMilliseconds, Consumer<Decision> told) {
-    told.accept(decide(account, tokens));
+      ClientAccount account,
+      double tokens,
+      long timeoutMilliseconds,
+      Consumer<Decision> onDecision) {
+    onDecision.accept(decide(account, tokens));
   }
 
   Decision decide(ClientAccount account, double tokens) {
@@ -72,19 +81,19 @@
 
   private QuotaBucket bucket(ClientAccount account, long now) {
     TokenQuota quota = account.quota().orElseThrow();
-    TokenRate whole = tolerance.rate(quota.perSecond(), quota.burst());
-    TokenRate part = kept.apply(whole.scaled(1.0 / fleet.most(now)));
-    return buckets.bucket(account.name(), part, now);
+    TokenRate total = tolerance.rate(quota.perSecond(), quota.burst());
+    TokenRate share = adjustment.apply(total.scaled(1.0 / fleet.most(now)));
+    return buckets.bucket(account.name(), share, now);
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
     bucket(account, now).giveBack(tokens, now);
   }
 
-  /** Empties the bucket of an account, whose part is earned from the given moment on. */
-  void begin(String account, long fromMilliseconds) {
+  /** Empties the bucket of an account, which refills its share from the given time on. */
+  void restart(String account, long fromMilliseconds) {
     buckets.forget(account);
     buckets.bucket(account, new TokenRate(0, 0), fromMilliseconds);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingContext.java
@@ -16,13 +16,13 @@
  *
  * @param vertx runs timers
  * @param delay tells how far the event loop is behind
- * @param answerMemory bounds the answers that are not whole yet
+ * @param responseMemory bounds the answers that are not whole yet
  * @param client opens connections to runners
  * @param dialect how callers and runners are talked to
  * @param headers which headers are passed on
  * @param table the configuration in force; empty before any is known
  * @param selector finds runners
- * @param notices what runners say of themselves in their answers
+ * @param availability what runners say of themselves in their answers
  * @param sending decides whether a request is sent, waits or is refused
  * @param loads what is known of the work at runners
  * @param presence what is known of models and adapters at runners
@@ -39,13 +39,13 @@
 record ForwardingContext(
     Vertx vertx,
     EventLoopDelay delay,
-    ResponseMemory answerMemory,
+    ResponseMemory responseMemory,
     HttpClient client,
     PlatformDialect dialect,
     HeaderRules headers,
     Supplier<Optional<ForwardingTable>> table,
     RunnerSelector selector,
-    RunnerAvailability notices,
+    RunnerAvailability availability,
     SendPolicy sending,
     RunnerLoads loads,
     ModelPresence presence,
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -80,18 +80,18 @@
   private final ModelPresence presence = new ModelPresence();
   private final DemandMeter demand = new DemandMeter();
   private final EventLoopDelay delay = new EventLoopDelay();
-  private final ResponseMemory answerMemory = new ResponseMemory();
+  private final ResponseMemory responseMemory = new ResponseMemory();
   private final WaitingRequests waiting;
   private final Set<RequestExchange> exchanges = new HashSet<>();
   private final ConfigurationTracker configuration;
   private final RunnerDirectory runners;
-  private final SnapshotExchange knowledge;
-  private final Map<String, ObjectRelay> knowledgeRelays = new HashMap<>();
+  private final SnapshotExchange snapshots;
+  private final Map<String, ObjectRelay> objectRelays = new HashMap<>();
   private final List<ObjectInformer> informers = new ArrayList<>();
   private ForwardingPeers peers;
   private LoadExchange loadExchange;
-  private PlannerClient plannerLink;
-  private RunnerAvailability notices;
+  private PlannerClient plannerClient;
+  private RunnerAvailability availability;
   private FleetSize fleetSize;
   private RegionalQuotaPolicy quotas;
   private ModelPlanner planner;
@@ -118,7 +118,7 @@
     this.waiting = new WaitingRequests(vertx);
     this.configuration = new ConfigurationTracker(dialect.storedObjects());
     this.runners = new RunnerDirectory(dialect.storedObjects());
-    this.knowledge = new SnapshotExchange(vertx, configuration, runners);
+    this.snapshots = new SnapshotExchange(vertx, configuration, runners);
   }
 
   /** Returns what a daemon runs on unless it is given another: one event loop. */
@@ -176,9 +176,9 @@
   }
 
   private void startParts(UniformRandomProvider random, CompletableFuture<Void> started) {
-    plannerLink = new PlannerClient(peers, presence, waiting, demand, () -> lease.refresh());
+    plannerClient = new PlannerClient(peers, presence, waiting, demand, () -> lease.refresh());
     loadExchange = new LoadExchange(peers, loads, settings.failureDomain());
-    notices = new RunnerAvailability(peers::broadcast);
+    availability = new RunnerAvailability(peers::broadcast);
     fleetSize = new FleetSize(() -> peers.alive().size());
     quotas =
         new RegionalQuotaPolicy(
@@ -194,12 +194,17 @@
     createWatches(store);
     startForwarding(random);
     startPlanner(store, peers.self().id());
-    knowledge.start(peers);
+    snapshots.start(peers);
     startTimers();
     peers.start(
         settings.peers(),
         new PeerInbox(
-            knowledge, Map.copyOf(knowledgeRelays), loadExchange, plannerLink, notices, quotas));
+            snapshots,
+            Map.copyOf(objectRelays),
+            loadExchange,
+            plannerClient,
+            availability,
+            quotas));
     new EntryListeners(
             vertx,
             settings,
@@ -229,7 +234,7 @@
 
   private void createWatch(ObjectSource source, ObjectKind kind, InformerListener listener) {
     ObjectRelay relay = new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
-    knowledgeRelays.put(kind.plural(), relay);
+    objectRelays.put(kind.plural(), relay);
     ObjectInformer informer =
         new ObjectInformer(vertx, source, kind, STORE_POLL, LONGEST_STORE_DELAY);
     informers.add(closer.register(informer.listen(listener).listen(relay)));
@@ -252,24 +257,24 @@
             runners,
             loads,
             presence,
-            notices,
+            availability,
             new EarliestBeginChoice(random));
     ingress =
         new IngressServer(
             new ForwardingContext(
                 vertx,
                 delay,
-                answerMemory,
+                responseMemory,
                 client,
                 dialect,
                 new HeaderRules(dialect.callers().reservedHeaders()),
                 configuration::table,
                 selector,
-                notices,
+                availability,
                 new BeginInTime(),
                 loads,
                 presence,
-                plannerLink::ensureAdapter,
+                plannerClient::ensureAdapter,
                 quotaPolicy(),
                 new RetryBudgets(settings.terms(), fleetSize),
                 demand,
@@ -281,7 +286,7 @@
     metrics.registerGauge("agatefield.forwarding.waiting", (Gauge<Integer>) waiting::size);
     metrics.registerGauge("agatefield.forwarding.open", (Gauge<Integer>) ingress::open);
     metrics.registerGauge(
-        "agatefield.forwarding.answer-bytes", (Gauge<Long>) answerMemory::heldBytes);
+        "agatefield.forwarding.answer-bytes", (Gauge<Long>) responseMemory::heldBytes);
     metrics.registerGauge("agatefield.configuration.version", (Gauge<Long>) configuration::version);
     metrics.registerGauge(
         "agatefield.runners.age-milliseconds", (Gauge<Long>) runners::ageMilliseconds);
@@ -322,7 +327,7 @@
                 PLANNER_LEASE,
                 id,
                 LEASE_DURATION,
-                this::isEarlierLifeOfThisInstance,
+                this::isEarlierProcessOfThisInstance,
                 () -> peers.relays().speaks()));
     planner =
         new ModelPlanner(
@@ -335,13 +340,13 @@
             runners,
             configuration,
             new DemandReplicaPolicy(),
-            plannerLink);
-    plannerLink.join(planner);
+            plannerClient);
+    plannerClient.connectLocalPlanner(planner);
     planner.start();
   }
 
   /** Two processes of one instance never live at once, as both listen on its addresses. */
-  private boolean isEarlierLifeOfThisInstance(String holder) {
+  private boolean isEarlierProcessOfThisInstance(String holder) {
     String prefix = settings.instanceName() + "-";
     boolean sameInstance = holder.startsWith(prefix) && holder.indexOf('-', prefix.length()) < 0;
     return sameInstance && !holder.equals(peers.self().id());
@@ -349,12 +354,12 @@
 
   private void startTimers() {
     PeriodicTasks duties = new PeriodicTasks(vertx, LoadExchange.PERIOD_MILLISECONDS, delay);
-    duties.every(LoadExchange.PERIOD_MILLISECONDS, loadExchange::tell);
-    duties.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerLink.reportDemand());
-    duties.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerLink.announce());
+    duties.every(LoadExchange.PERIOD_MILLISECONDS, loadExchange::sendReports);
+    duties.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerClient.reportDemand());
+    duties.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerClient.announce());
     duties.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
     duties.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
-    duties.every(RegionalQuotaPolicy.KEEP_MILLISECONDS, quotas::keep);
+    duties.every(RegionalQuotaPolicy.REFRESH_MILLISECONDS, quotas::refresh);
     duties.start();
   }
 
@@ -381,7 +386,7 @@
     peers.leave();
     context.runOnContext(
         run -> {
-          quotas.handOver();
+          quotas.transferToNextHolders();
           planner.stop();
           lease.close();
         });
@@ -414,7 +419,7 @@
     CompletableFuture<Void> answered = new CompletableFuture<>();
     context.runOnContext(
         run -> {
-          List.copyOf(exchanges).forEach(RequestExchange::giveUp);
+          List.copyOf(exchanges).forEach(RequestExchange::expire);
           vertx.setTimer(SHUTDOWN_CHECK_MILLISECONDS, fired -> answered.complete(null));
         });
     try {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
@@ -29,12 +29,12 @@
   private static final int NOT_FOUND = 404;
   private static final int BODY_TOO_LARGE = 413;
 
-  private final ForwardingContext parts;
+  private final ForwardingContext context;
   private long heldBytes;
   private int open;
 
-  IngressServer(ForwardingContext parts) {
-    this.parts = parts;
+  IngressServer(ForwardingContext context) {
+    this.context = context;
   }
 
   /** Returns the requests that are not answered yet. */
@@ -49,21 +49,21 @@
   }
 
   private IngressLimits limits() {
-    return parts.table().get().map(ForwardingTable::limits).orElse(IngressLimits.DEFAULTS);
+    return context.table().get().map(ForwardingTable::limits).orElse(IngressLimits.DEFAULTS);
   }
 
   private void received(HttpServerRequest request, Buffer content, long arrivedAt) {
-    CallerResponse response = new CallerResponse(request, parts.headers(), parts.leaving());
-    Optional<ForwardingTable> table = parts.table().get();
+    CallerResponse response = new CallerResponse(request, context.headers(), context.leaving());
+    Optional<ForwardingTable> table = context.table().get();
     if (table.isEmpty()) {
       refuse(request, response, RefusalReason.NO_CONFIGURATION);
       return;
     }
-    if (parts.refusing().getAsBoolean()) {
+    if (context.refusing().getAsBoolean()) {
       refuse(request, response, RefusalReason.SHUTTING_DOWN);
       return;
     }
-    RequestTerms terms = parts.dialect().callers().requestTerms(request.headers());
+    RequestTerms terms = context.dialect().callers().requestTerms(request.headers());
     String host = Optional.ofNullable(request.getHeader("Host")).orElse("");
     Optional<Route> route = table.get().match(host, request.path());
     if (route.isEmpty()) {
@@ -89,14 +89,14 @@
           route.get().name(),
           terms.key().isPresent(),
           table.get().version());
-      parts.metrics().refused(RefusalReason.UNKNOWN_KEY.name());
+      context.metrics().refused(RefusalReason.UNKNOWN_KEY.name());
       response.refuse(RefusalReason.UNKNOWN_KEY, 0);
       return;
     }
     new RequestExchange(
-            parts,
+            context,
             request,
-            new RequestExchange.Admitted(table.get(), route.get(), account, terms),
+            new RequestExchange.AdmittedRequest(table.get(), route.get(), account, terms),
             content,
             arrivedAt,
             ThreadLocalRandom.current().nextDouble())
@@ -108,16 +108,16 @@
         reason == RefusalReason.SHUTTING_DOWN
             ? LEAVING_RETURN_MILLISECONDS
             : NO_CONFIGURATION_RETURN_MILLISECONDS;
-    String id = parts.dialect().callers().requestTerms(request.headers()).id();
+    String id = context.dialect().callers().requestTerms(request.headers()).id();
     LOGGER.info("request={} outcome=refused_{}", id, reason);
-    parts.metrics().refused(reason.name());
+    context.metrics().refused(reason.name());
     response.refuse(reason, CallerResponse.spread(middle));
   }
 
   /** Reads one body within the limits. */
   private final class BodyReading {
     private final HttpServerRequest request;
-    private final long arrivedAt = parts.delay().earliestArrival(MonotonicClock.milliseconds());
+    private final long arrivedAt = context.delay().earliestArrival(MonotonicClock.milliseconds());
     private final Buffer content = Buffer.buffer();
     private boolean over;
     private long held;
@@ -176,7 +176,7 @@
     }
 
     private CallerResponse response() {
-      return new CallerResponse(request, parts.headers(), parts.leaving());
+      return new CallerResponse(request, context.headers(), context.leaving());
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -11,94 +11,96 @@
 import org.agatefield.peer.PeerMessage;
 
 /**
- * Tells other instances what runs at runners, and takes in what they tell.
+ * Exchanges the load at runners with other instances.
  *
- * <p>Answers the load of messages that grows with the square of a failure domain. In a small domain
- * neighbours tell each other directly. In a large one each instance tells the domain's relay only,
- * and the relay tells each neighbour the work of all others, of other domains too, so that an
- * instance sends and receives the same number of messages in a fleet of any size. Sums go under the
- * domain's name, so that two relays in turn replace each other's. While the relay is silent,
- * neighbours tell each other directly. Confined to one event loop.
+ * <p>Direct messages between all instances grow with the square of the size of a failure domain. In
+ * a small domain neighbours therefore report to each other directly; in a large one each instance
+ * reports only to the domain's relay, and the relay reports to each neighbour the load of all other
+ * instances, including those of other domains. An instance thus sends and receives the same number
+ * of messages in a fleet of any size. Sums are reported under the domain's name, so that a new
+ * relay's sum replaces that of its predecessor. While the relay is silent, neighbours report to
+ * each other directly. Confined to one event loop.
  */
 final class LoadExchange {
-  /** How often {@link #tell} is to be called. */
-  static final long PERIOD_MILLISECONDS = 120; // a backlog changes by a tenth of an objective
+  /** Interval at which {@link #sendReports} must be called. */
+  static final long PERIOD_MILLISECONDS =
+      120; // The backlog changes by a tenth of an objective in this time.
 
-  private static final int PERIODS_PER_LARGE_DOMAIN_REPORT = 2; // many neighbours, smaller parts
-  private static final int PERIODS_PER_DISTANT_REPORT = 2; // bytes between domains are paid for
+  private static final int PERIODS_PER_LARGE_DOMAIN_REPORT =
+      2; // With many neighbours each has a smaller share.
+  private static final int PERIODS_PER_DISTANT_REPORT = 2; // Traffic between domains is charged.
   private static final int PERIODS_PER_DOMAIN_SUM = 4;
-  private static final long RELAY_SILENCE_MILLISECONDS = 720; // three reports of a relay
+  private static final long RELAY_TIMEOUT_MILLISECONDS = 720; // Three report intervals of a relay.
 
   private final Fleet fleet;
   private final RunnerLoads loads;
-  private final FailureDomain here;
+  private final FailureDomain localDomain;
   private int periods;
-  private long unansweredSince = Long.MAX_VALUE;
+  private long relaySilentSince = Long.MAX_VALUE;
 
-  /** The other instances, as far as loads are told to them. */
+  /** Provides the relays and the messaging that load reports need. */
   interface Fleet {
-    /** Returns this instance. */
     Instance self();
 
-    /** Returns who speaks for which failure domain. */
+    /** Returns the relays of the failure domains. */
     DomainRelays relays();
 
-    /** Sends a message that may be lost. */
+    /** Sends a message without delivery guarantee. */
     void send(Instance instance, PeerMessage message);
   }
 
-  LoadExchange(Fleet fleet, RunnerLoads loads, FailureDomain here) {
+  LoadExchange(Fleet fleet, RunnerLoads loads, FailureDomain localDomain) {
     this.fleet = fleet;
     this.loads = loads;
-    this.here = here;
+    this.localDomain = localDomain;
   }
 
-  /** Tells those whose turn it is. */
-  void tell(long nowMilliseconds) {
+  /** Sends the reports that are due in this period. */
+  void sendReports(long nowMilliseconds) {
     periods++;
     DomainRelays relays = fleet.relays();
     if (!relays.isDomainLarge()) {
-      tellDirectly(relays);
+      reportDirectly(relays);
     } else if (relays.speaks()) {
-      tellForDomain(relays, nowMilliseconds);
+      reportForDomain(relays, nowMilliseconds);
     } else if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT == 0) {
-      tellRelay(relays, nowMilliseconds);
+      reportToRelay(relays, nowMilliseconds);
     }
   }
 
-  private void tellDirectly(DomainRelays relays) {
-    Map<String, RunnerLoads.Share> own = loads.ownShares();
-    if (own.isEmpty()) {
+  private void reportDirectly(DomainRelays relays) {
+    Map<String, RunnerLoads.Share> localLoads = loads.ownShares();
+    if (localLoads.isEmpty()) {
       return;
     }
-    PeerMessage report = report(fleet.self().id(), own);
+    PeerMessage report = report(fleet.self().id(), localLoads);
     relays.neighbours().forEach(neighbour -> fleet.send(neighbour, report));
     if (periods % PERIODS_PER_DISTANT_REPORT == 0) {
-      tellOtherDomains(relays, report);
+      reportToOtherDomains(relays, report);
     }
   }
 
-  private void tellRelay(DomainRelays relays, long now) {
-    Map<String, RunnerLoads.Share> own = loads.ownShares();
-    if (own.isEmpty()) {
-      unansweredSince = Long.MAX_VALUE;
+  private void reportToRelay(DomainRelays relays, long now) {
+    Map<String, RunnerLoads.Share> localLoads = loads.ownShares();
+    if (localLoads.isEmpty()) {
+      relaySilentSince = Long.MAX_VALUE;
       return;
     }
-    unansweredSince = Math.min(unansweredSince, now);
-    PeerMessage report = report(fleet.self().id(), own);
-    if (now - unansweredSince > RELAY_SILENCE_MILLISECONDS) {
+    relaySilentSince = Math.min(relaySilentSince, now);
+    PeerMessage report = report(fleet.self().id(), localLoads);
+    if (now - relaySilentSince > RELAY_TIMEOUT_MILLISECONDS) {
       relays.neighbours().forEach(neighbour -> fleet.send(neighbour, report));
     } else {
       fleet.send(relays.sources().get(0), report);
     }
   }
 
-  private void tellForDomain(DomainRelays relays, long now) {
-    unansweredSince = Long.MAX_VALUE;
+  private void reportForDomain(DomainRelays relays, long now) {
+    relaySilentSince = Long.MAX_VALUE;
     List<Instance> neighbours = relays.neighbours();
     if (periods % PERIODS_PER_DOMAIN_SUM == 0) {
       List<String> ids = neighbours.stream().map(Instance::id).toList();
-      tellOtherDomains(relays, report(domainName(), loads.sharesWith(ids, now)));
+      reportToOtherDomains(relays, report(domainName(), loads.sharesWith(ids, now)));
     }
     if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT != 0 || loads.allShares(now).isEmpty()) {
       return;
@@ -108,20 +110,20 @@
     }
   }
 
-  private void tellOtherDomains(DomainRelays relays, PeerMessage report) {
+  private void reportToOtherDomains(DomainRelays relays, PeerMessage report) {
     relays.direct().forEach(instance -> fleet.send(instance, report));
     relays.relays().forEach(instance -> fleet.send(instance, report));
   }
 
-  /** Takes in what an instance or a failure domain has at runners. */
-  void heard(PeerMessage.RunnerLoadReport report, long nowMilliseconds) {
+  /** Applies the load reported by an instance or for a failure domain. */
+  void reportReceived(PeerMessage.RunnerLoadReport report, long nowMilliseconds) {
     Map<String, RunnerLoads.Share> shares = new HashMap<>();
     for (PeerMessage.RunnerShare share : report.loads()) {
       shares.put(
           share.runner(), new RunnerLoads.Share(share.running(), share.unreadPromptTokens()));
     }
     if (report.instance().equals(domainName())) {
-      unansweredSince = Long.MAX_VALUE;
+      relaySilentSince = Long.MAX_VALUE;
       loads.heardFromAll(report.instance(), shares, nowMilliseconds);
     } else {
       loads.heard(report.instance(), shares, nowMilliseconds);
@@ -129,7 +131,7 @@
   }
 
   private String domainName() {
-    return "domain/" + here.name();
+    return "domain/" + localDomain.name();
   }
 
   private static PeerMessage report(String reporter, Map<String, RunnerLoads.Share> reported) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -30,26 +30,28 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Places models and adapters on runners while this instance holds the planner's lease.
+ * Places models and adapters on runners while this instance holds the planner lease.
  *
- * <p>Invariants: no order is sent without a valid grant; a new holder reads every runner's state
- * before its first order to it. Confined to one event loop.
+ * <p>Invariants: no order is sent without a valid lease grant; a new lease holder reads each
+ * runner's state before sending its first order to it. Confined to one event loop.
  */
 final class ModelPlanner implements RunnerDirectory.Listener {
   private static final Logger LOGGER = LogManager.getLogger(ModelPlanner.class);
-  private static final long TICK_MILLISECONDS = 200; // a fraction of the shortest load
-  private static final double CONCURRENT_LOADS_PER_RATE = 3; // as the sheets' weight stores allow
+  private static final long TICK_MILLISECONDS = 200; // A fraction of the shortest load time.
+  private static final double CONCURRENT_LOADS_PER_RATE =
+      3; // Limit of the weight stores in the specification.
   private static final long STATE_LOG_MILLISECONDS = 1_000;
-  private static final int RUNNERS_PER_SECOND_OF_LOG = 20; // large fleets are told less often
-  private static final int ADAPTER_LOADS = 24; // the smaller of the sheets' weight stores
+  private static final int RUNNERS_PER_SECOND_OF_LOG = 20; // Large fleets are logged less often.
+  private static final int CONCURRENT_ADAPTER_LOADS =
+      24; // Limit of the smaller weight store in the specification.
   private static final double MAXIMUM_ADAPTER_MEGABYTES = 64;
 
   private final Vertx vertx;
   private final HttpClient client;
   private final RunnerDialect dialect;
   private final LeaseView lease;
-  private final Runnable distrustLease;
-  private final SuspensionDetector standstill =
+  private final Runnable invalidateLease;
+  private final SuspensionDetector suspension =
       new SuspensionDetector(MonotonicClock.milliseconds(), System.currentTimeMillis());
   private final String instance;
   private final RunnerDirectory runners;
@@ -58,24 +60,24 @@
   private final Announcements announcements;
   private final DemandBook demand = new DemandBook();
   private final Map<String, EngineController> engines = new HashMap<>();
-  private final OutstandingOrdersByRunner lateOrders = new OutstandingOrdersByRunner();
+  private final OutstandingOrdersByRunner outstandingOrders = new OutstandingOrdersByRunner();
   private final Map<String, LoadBudget> budgets = new HashMap<>();
-  private boolean holding;
+  private boolean active;
   private long loggedAt;
   private long timer = -1;
 
-  /** What the planner tells the other instances. */
+  /** Notifies the other instances of planner events. */
   interface Announcements {
-    /** A runner has a model now. */
+    /** Announces that a runner has finished loading a model. */
     void loaded(String runner, String model);
 
-    /** A runner is about to drop a model. */
+    /** Announces that a runner is about to unload a model. */
     void dropping(String runner, String model);
 
-    /** A runner begins to load a model. */
+    /** Announces that a runner has started to load a model. */
     void loading(String runner, String model, long expectedMilliseconds);
 
-    /** This instance has become the planner. */
+    /** Announces that this instance has become the planner. */
     void tookOver(long fencingToken);
   }
 
@@ -84,7 +86,7 @@
       HttpClient client,
       RunnerDialect dialect,
       LeaseView lease,
-      Runnable distrustLease,
+      Runnable invalidateLease,
       String instance,
       RunnerDirectory runners,
       ConfigurationTracker configuration,
@@ -94,7 +96,7 @@
     this.client = client;
     this.dialect = dialect;
     this.lease = lease;
-    this.distrustLease = distrustLease;
+    this.invalidateLease = invalidateLease;
     this.instance = instance;
     this.runners = runners;
     this.configuration = configuration;
@@ -109,10 +111,10 @@
 
   void stop() {
     vertx.cancelTimer(timer);
-    release();
+    deactivate();
   }
 
-  /** Returns the token of the grant, if this instance is the planner. */
+  /** Returns the fencing token of the lease grant if this instance is the planner. */
   Optional<Long> fencingToken() {
     return lease.currentGrant().map(LeaseGrant::fencingToken);
   }
@@ -121,9 +123,12 @@
     demand.reported(from, demands, MonotonicClock.milliseconds());
   }
 
-  /** Has an adapter loaded, if this instance is the planner. */
+  /**
+   * Requests the load of an adapter if this instance is the planner; otherwise completes with
+   * false.
+   */
   CompletableFuture<Boolean> ensureAdapter(String runner, String model, String adapter) {
-    EngineController engine = holding ? engines.get(runner) : null;
+    EngineController engine = active ? engines.get(runner) : null;
     if (engine == null) {
       return CompletableFuture.completedFuture(false);
     }
@@ -131,72 +136,75 @@
   }
 
   @Override
-  public void runnerChanged(RunnerEntry entry, boolean newLife) {
-    if (holding) {
-      take(entry, newLife);
+  public void runnerChanged(RunnerEntry entry, boolean newProcess) {
+    if (active) {
+      attach(entry, newProcess);
     }
   }
 
   @Override
   public void runnerGone(String id) {
-    EngineController gone = engines.remove(id);
-    if (gone != null) {
-      gone.abandonAll();
-      lateOrders.gone(id);
+    EngineController removed = engines.remove(id);
+    if (removed != null) {
+      removed.abandonAll();
+      outstandingOrders.runnerRemoved(id);
     }
   }
 
-  /** Returns the grant, unless this process stood still and another may hold the lease by now. */
-  private Optional<LeaseGrant> trustedGrant() {
+  /**
+   * Returns the lease grant. If this process was suspended, another instance may hold the lease by
+   * now, so the lease is checked again first.
+   */
+  private Optional<LeaseGrant> verifiedGrant() {
     boolean wasSuspended =
-        standstill.wasSuspended(MonotonicClock.milliseconds(), System.currentTimeMillis());
+        suspension.wasSuspended(MonotonicClock.milliseconds(), System.currentTimeMillis());
     if (wasSuspended) {
       LOGGER.info("planner={} clocks=apart lease=distrusted", instance);
-      distrustLease.run();
+      invalidateLease.run();
     }
     return lease.currentGrant();
   }
 
   private void tick() {
-    Optional<LeaseGrant> grant = trustedGrant();
+    Optional<LeaseGrant> grant = verifiedGrant();
     if (grant.isEmpty()) {
-      release();
+      deactivate();
       return;
     }
-    if (!holding) {
-      holding = true;
+    if (!active) {
+      active = true;
       LOGGER.info("planner={} token={}", instance, grant.get().fencingToken());
       announcements.tookOver(grant.get().fencingToken());
-      List.copyOf(runners.all()).forEach(entry -> take(entry, true));
+      List.copyOf(runners.all()).forEach(entry -> attach(entry, true));
     }
     engines.values().forEach(EngineController::tick);
-    lateOrders.forget(engines::containsKey, MonotonicClock.milliseconds());
+    outstandingOrders.forget(engines::containsKey, MonotonicClock.milliseconds());
     configuration.table().ifPresent(this::plan);
   }
 
-  private void release() {
-    if (!holding) {
+  private void deactivate() {
+    if (!active) {
       return;
     }
-    holding = false;
+    active = false;
     LOGGER.info("planner={} lease=ended", instance);
     engines.values().forEach(EngineController::abandonAll);
     engines.clear();
   }
 
-  private void take(RunnerEntry entry, boolean newLife) {
+  private void attach(RunnerEntry entry, boolean newProcess) {
     Optional<EnginePool> pool = pool(entry.service());
     if (pool.isEmpty() || entry.models().isEmpty()) {
       return;
     }
-    EngineController known = engines.get(entry.id());
-    OutstandingOrders late = lateOrders.of(entry.id());
+    EngineController existing = engines.get(entry.id());
+    OutstandingOrders outstanding = outstandingOrders.of(entry.id());
     EngineController engine =
-        known != null
-            ? known
-            : new EngineController(vertx, client, dialect, new GrantedOrders(), late);
+        existing != null
+            ? existing
+            : new EngineController(vertx, client, dialect, new GrantedOrders(), outstanding);
     engines.put(entry.id(), engine);
-    engine.update(entry, newLife || known == null, pool.get().adapterSlots());
+    engine.update(entry, newProcess || existing == null, pool.get().adapterSlots());
   }
 
   private Optional<EnginePool> pool(String service) {
@@ -220,7 +228,7 @@
         continue;
       }
       if (!engines.containsKey(entry.id())) {
-        take(entry, true);
+        attach(entry, true);
       }
       EngineController engine = engines.get(entry.id());
       if (engine != null) {
@@ -234,12 +242,14 @@
     LoadBudget budget =
         budgets
             .computeIfAbsent(service, ignored -> LoadBudget.startingAt(now))
-            .refill(new WeightStoreLimits(pool.loadsPerSecond(), concurrent, ADAPTER_LOADS), now);
+            .refill(
+                new WeightStoreLimits(pool.loadsPerSecond(), concurrent, CONCURRENT_ADAPTER_LOADS),
+                now);
     int allowed = Math.min(budget.available(), Math.max(0, concurrent - loading));
-    long clock = MonotonicClock.milliseconds();
-    Map<String, DemandBook.Demand> demands = demand.demands(clock);
+    long nowMilliseconds = MonotonicClock.milliseconds();
+    Map<String, DemandBook.Demand> demands = demand.demands(nowMilliseconds);
     List<ReplicaMove> moves = policy.plan(views, sizes(pool), demands, allowed);
-    logState(service, views, demands, allowed, clock);
+    logState(service, views, demands, allowed, nowMilliseconds);
     for (ReplicaMove move : moves) {
       if (move.fromStore()) {
         budget = budget.take();
@@ -329,14 +339,14 @@
         .toList();
   }
 
-  /** Lets engines send orders while the grant holds. */
+  /** Allows engine controllers to send orders while the grant is valid. */
   private final class GrantedOrders implements EngineController.Orders {
-    // A call that is under way must arrive before the grant ends.
+    // A call in flight must arrive before the grant expires.
     private static final long CALL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(200);
 
     @Override
     public Optional<LeaseGrant> grant() {
-      return trustedGrant()
+      return verifiedGrant()
           .filter(grant -> grant.validUntilNanoseconds() - System.nanoTime() > CALL_NANOSECONDS);
     }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPresence.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPresence.java
@@ -8,25 +8,27 @@
 import org.agatefield.forwarding.RunnerEntry;
 
 /**
- * Which models and adapters this instance believes each runner to have.
+ * Tracks which models and adapters this instance assumes to be loaded on each runner.
  *
- * <p>Models come from entries, and are doubted for a while after a runner said that it lacks one.
- * Adapters are not in entries in time; they are believed for a while after the planner or an answer
- * confirmed them. Confined to one event loop.
+ * <p>Models are taken from runner entries and assumed absent for a while after a runner has
+ * reported one missing. Entries list adapters too late; an adapter is assumed present for a while
+ * after the planner or a response has confirmed it. Confined to one event loop.
  */
 final class ModelPresence {
-  // A planner keeps an adapter at least this long after it was last asked for.
+  // The planner retains an adapter at least this long after its last use.
   private static final long ADAPTER_CONFIRMATION_MILLISECONDS = 2_500;
-  private static final long MODEL_DOUBT_MILLISECONDS = 700; // entries follow within a heartbeat
+  private static final long MODEL_ABSENCE_MILLISECONDS =
+      700; // Entries are updated within a heartbeat.
 
-  // An unload waits for the model's requests; the entry follows when it is done.
+  // An unload waits for the model's requests; the entry is updated when the unload is complete.
   private static final long WITHDRAWAL_MILLISECONDS = 5_000;
 
-  private static final long LATE_LOAD_MILLISECONDS = 2_000; // loads slow down when many run
+  private static final long LOAD_DELAY_TOLERANCE_MILLISECONDS =
+      2_000; // Loads slow down when many run concurrently.
 
   private final Map<String, Map<String, Long>> modelsExpectedAt = new HashMap<>();
   private final Map<String, Map<String, Long>> adaptersConfirmedAt = new HashMap<>();
-  private final Map<String, Map<String, Long>> modelsDoubtedAt = new HashMap<>();
+  private final Map<String, Map<String, Long>> modelsMissingAt = new HashMap<>();
   private final Map<String, Set<String>> modelsAnnounced = new HashMap<>();
 
   void confirmAdapter(String runner, String model, String adapter, long now) {
@@ -35,7 +37,7 @@
         .put(model + '/' + adapter, now);
   }
 
-  void denyAdapter(String runner, String model, String adapter) {
+  void markAdapterMissing(String runner, String model, String adapter) {
     adaptersConfirmedAt.getOrDefault(runner, new HashMap<>()).remove(model + '/' + adapter);
   }
 
@@ -44,58 +46,61 @@
     return at != null && now - at < ADAPTER_CONFIRMATION_MILLISECONDS;
   }
 
-  void denyModel(String runner, String model, long now) {
-    modelsDoubtedAt.computeIfAbsent(runner, ignored -> new HashMap<>()).put(model, now);
+  void markModelMissing(String runner, String model, long now) {
+    modelsMissingAt.computeIfAbsent(runner, ignored -> new HashMap<>()).put(model, now);
     modelsAnnounced.getOrDefault(runner, new HashSet<>()).remove(model);
   }
 
-  /** The planner said that a runner has a model, before its entry does. */
+  /** Records the planner's announcement that a runner has loaded a model, ahead of its entry. */
   void announceModel(String runner, String model) {
     modelsAnnounced.computeIfAbsent(runner, ignored -> new HashSet<>()).add(model);
-    modelsDoubtedAt.getOrDefault(runner, new HashMap<>()).remove(model);
+    modelsMissingAt.getOrDefault(runner, new HashMap<>()).remove(model);
     modelsExpectedAt.getOrDefault(model, new HashMap<>()).remove(runner);
   }
 
-  /** The planner said that a runner is loading a model. */
+  /** Records the planner's announcement that a runner is loading a model. */
   void expectModel(String runner, String model, long readyAt) {
     modelsExpectedAt.computeIfAbsent(model, ignored -> new HashMap<>()).put(runner, readyAt);
   }
 
-  /** Returns when some runner is expected to have a model; empty if none is loading it. */
+  /**
+   * Returns the earliest time at which a runner is expected to have loaded the model; empty if none
+   * is loading it.
+   */
   OptionalLong expectedAt(String model, long now) {
     Map<String, Long> expected = modelsExpectedAt.getOrDefault(model, new HashMap<>());
-    expected.values().removeIf(at -> now - at > LATE_LOAD_MILLISECONDS);
+    expected.values().removeIf(at -> now - at > LOAD_DELAY_TOLERANCE_MILLISECONDS);
     return expected.values().stream().mapToLong(Long::longValue).min();
   }
 
-  /** The planner said that a runner is about to drop a model. */
+  /** Records the planner's announcement that a runner is about to unload a model. */
   void withdrawModel(String runner, String model, long now) {
-    modelsDoubtedAt
+    modelsMissingAt
         .computeIfAbsent(runner, ignored -> new HashMap<>())
-        .put(model, now + WITHDRAWAL_MILLISECONDS - MODEL_DOUBT_MILLISECONDS);
+        .put(model, now + WITHDRAWAL_MILLISECONDS - MODEL_ABSENCE_MILLISECONDS);
     modelsAnnounced.getOrDefault(runner, new HashSet<>()).remove(model);
   }
 
   boolean hasModel(RunnerEntry entry, String model, long now) {
-    boolean said =
+    boolean reported =
         entry.holds(model) || modelsAnnounced.getOrDefault(entry.id(), Set.of()).contains(model);
-    Long doubted = modelsDoubtedAt.getOrDefault(entry.id(), Map.of()).get(model);
-    return said && (doubted == null || now - doubted >= MODEL_DOUBT_MILLISECONDS);
+    Long missing = modelsMissingAt.getOrDefault(entry.id(), Map.of()).get(model);
+    return reported && (missing == null || now - missing >= MODEL_ABSENCE_MILLISECONDS);
   }
 
-  /** Forgets what an entry that names the models itself makes needless. */
+  /** Removes expired doubts and the announcements that the runner's entry now confirms. */
   void entryChanged(RunnerEntry entry, long now) {
-    modelsDoubtedAt
+    modelsMissingAt
         .getOrDefault(entry.id(), new HashMap<>())
         .values()
-        .removeIf(at -> now - at >= MODEL_DOUBT_MILLISECONDS);
+        .removeIf(at -> now - at >= MODEL_ABSENCE_MILLISECONDS);
     modelsAnnounced.getOrDefault(entry.id(), new HashSet<>()).removeIf(entry::holds);
   }
 
   void forget(String runner) {
     modelsExpectedAt.values().forEach(expected -> expected.remove(runner));
     adaptersConfirmedAt.remove(runner);
-    modelsDoubtedAt.remove(runner);
+    modelsMissingAt.remove(runner);
     modelsAnnounced.remove(runner);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
@@ -20,40 +20,42 @@
 import org.agatefield.store.StoredObject;
 
 /**
- * Tells other instances the objects of one kind, as this instance knows them, and their changes.
+ * Serves the objects of one kind and their changes to other instances.
  *
- * <p>Invariants: nothing is told before the objects are known, nor while they may be out of date
- * because their source does not answer or has not confirmed them lately; an asker that is too far
- * behind gets all objects. Versions are this process's own. Confined to one event loop.
+ * <p>Invariants: requests fail until the objects are known, and while they may be stale because
+ * their source does not respond or has not confirmed them recently; a requester that is too far
+ * behind gets all objects. Versions are valid only for this process. Confined to one event loop.
  */
 final class ObjectRelay implements InformerListener {
-  private static final int CHANGES_KEPT = 512; // several seconds of busy runners
-  // Beyond a watch's longest wait; a process that stood still has confirmed nothing meanwhile.
-  private static final long FRESH_MILLISECONDS = 2_500;
-  private static final long GATHER_MILLISECONDS = 20; // one answer carries changes that come close
+  private static final int MAXIMUM_CHANGES = 512; // Several seconds of changes by busy runners.
+  // Longer than the longest wait of a watch. A suspended process receives no confirmations and
+  // becomes stale.
+  private static final long STALE_AFTER_MILLISECONDS = 2_500;
+  private static final long BATCH_MILLISECONDS =
+      20; // Batches changes that occur close together into one response.
 
   private final Vertx vertx;
   private final String processId;
-  private final Map<String, Told> objects = new HashMap<>();
+  private final Map<String, RelayedObject> objects = new HashMap<>();
   private final Deque<Change> changes = new ArrayDeque<>();
   private final List<Pending> pending = new ArrayList<>();
   private long lastChange;
   private final LongSupplier clock;
   private long confirmedAt;
-  private boolean known;
+  private boolean initialized;
   private boolean available = true;
-  private boolean gathering;
+  private boolean batching;
 
-  private record Change(long number, Told object) {}
+  private record Change(long number, RelayedObject object) {}
 
-  /** An object as it is told to others; written once, and only if somebody asks for it. */
-  private static final class Told {
+  /** A relayed object; serialized once, on the first request. */
+  private static final class RelayedObject {
     private final String name;
     private final String version;
     private final Optional<JsonNode> content;
     private PeerMessage.ObjectState state;
 
-    Told(String name, String version, Optional<JsonNode> content) {
+    RelayedObject(String name, String version, Optional<JsonNode> content) {
       this.name = name;
       this.version = version;
       this.content = content;
@@ -73,7 +75,7 @@
    * Creates a relay.
    *
    * @param processId unique to this process
-   * @param clock monotonic milliseconds
+   * @param clock returns monotonic milliseconds
    */
   ObjectRelay(Vertx vertx, String processId, LongSupplier clock) {
     this.vertx = vertx;
@@ -83,22 +85,23 @@
 
   @Override
   public void changed(StoredObject object) {
-    Told told =
-        new Told(object.key().name(), object.resourceVersion(), Optional.of(object.content()));
-    objects.put(told.name, told);
-    note(told);
+    RelayedObject relayed =
+        new RelayedObject(
+            object.key().name(), object.resourceVersion(), Optional.of(object.content()));
+    objects.put(relayed.name, relayed);
+    append(relayed);
   }
 
   @Override
   public void deleted(ObjectKey key) {
-    Told before = objects.remove(key.name());
+    RelayedObject before = objects.remove(key.name());
     String version = before == null ? "" : before.version;
-    note(new Told(key.name(), version, Optional.empty()));
+    append(new RelayedObject(key.name(), version, Optional.empty()));
   }
 
   @Override
   public void confirmed() {
-    known = true;
+    initialized = true;
     confirmedAt = clock.getAsLong();
   }
 
@@ -116,17 +119,20 @@
     }
   }
 
-  /** Answers with what changed, as soon as something did, or after the time that the asker gave. */
+  /**
+   * Returns the changes since the requested version as soon as there are any, or after the
+   * requested wait time.
+   */
   CompletableFuture<PeerMessage> answer(PeerMessage.ObjectsRequest request) {
-    boolean fresh = clock.getAsLong() - confirmedAt <= FRESH_MILLISECONDS;
-    if (!known || !available || !fresh) {
+    boolean fresh = clock.getAsLong() - confirmedAt <= STALE_AFTER_MILLISECONDS;
+    if (!initialized || !available || !fresh) {
       return CompletableFuture.failedFuture(unavailable());
     }
     Optional<Long> after = changeNumber(request.fromVersion());
     if (after.isEmpty()) {
       return CompletableFuture.completedFuture(
           new PeerMessage.ObjectsAnswer(
-              version(), true, objects.values().stream().map(Told::state).toList()));
+              version(), true, objects.values().stream().map(RelayedObject::state).toList()));
     }
     if (after.get() < lastChange) {
       return CompletableFuture.completedFuture(changesAfter(after.get()));
@@ -146,20 +152,20 @@
     }
   }
 
-  private void note(Told told) {
+  private void append(RelayedObject relayed) {
     lastChange++;
-    changes.addLast(new Change(lastChange, told));
-    if (changes.size() > CHANGES_KEPT) {
+    changes.addLast(new Change(lastChange, relayed));
+    if (changes.size() > MAXIMUM_CHANGES) {
       changes.removeFirst();
     }
-    if (!gathering && !pending.isEmpty()) {
-      gathering = true;
-      vertx.setTimer(GATHER_MILLISECONDS, fired -> answerPending());
+    if (!batching && !pending.isEmpty()) {
+      batching = true;
+      vertx.setTimer(BATCH_MILLISECONDS, fired -> answerPending());
     }
   }
 
   private void answerPending() {
-    gathering = false;
+    batching = false;
     List<Pending> answered = List.copyOf(pending);
     pending.clear();
     for (Pending each : answered) {
@@ -182,7 +188,7 @@
     return processId + ':' + lastChange;
   }
 
-  /** Returns the change that a version stands for; empty if the changes since are not kept. */
+  /** Returns the change number of a version; empty if later changes are no longer retained. */
   private Optional<Long> changeNumber(String version) {
     String prefix = processId + ':';
     if (!version.startsWith(prefix)) {
@@ -193,7 +199,7 @@
       long oldest = changes.isEmpty() ? lastChange : changes.getFirst().number() - 1;
       return number >= oldest && number <= lastChange ? Optional.of(number) : Optional.empty();
     } catch (NumberFormatException exception) {
-      return Optional.empty(); // another process's version; the asker gets all objects
+      return Optional.empty(); // Version of another process; the requester gets all objects.
     }
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
@@ -6,35 +6,39 @@
 import java.util.Set;
 
 /**
- * Loads that were ordered from an earlier life of a runner and may still take effect in a later
+ * Tracks load orders sent to earlier processes of a runner that may still take effect in a later
  * one.
  *
- * <p>A count of accepted orders guards against late orders within one life only: a runner that
- * starts again under its identifier counts anew, so that a late order may find the count that it
- * names. Outlives the runner's entry, which lapses while the runner is down. Confined to one event
- * loop.
+ * <p>The count of accepted orders protects against delayed orders only within one process: a runner
+ * that restarts under its identifier counts from the start again, so that a delayed order may match
+ * the new count. Outlives the runner's entry, which expires while the runner is down. Confined to
+ * one event loop.
  */
 final class OutstandingOrders {
-  /** How long after it was sent an order may still be carried out. */
-  static final long LATE_MILLISECONDS = 13_000; // the pages say seconds; benches play twelve
+  /** How long after sending an order may still be executed. */
+  static final long MAXIMUM_DELAY_MILLISECONDS =
+      13_000; // The specification allows delays of seconds; benchmarks use twelve.
 
   private final Map<String, Long> pending = new HashMap<>();
-  private final Map<String, Long> fromEarlierLives = new HashMap<>();
+  private final Map<String, Long> fromEarlierProcesses = new HashMap<>();
 
-  /** An order to load a model, or an adapter written as {@code model/adapter}, is being sent. */
+  /**
+   * Records that an order to load a model, or an adapter written as {@code model/adapter}, is being
+   * sent.
+   */
   void sent(String load, long now) {
-    pending.put(load, now + LATE_MILLISECONDS);
+    pending.put(load, now + MAXIMUM_DELAY_MILLISECONDS);
   }
 
-  /** The runner said what became of the order. */
+  /** Records that the runner reported the outcome of the order. */
   void answered(String load) {
     pending.remove(load);
-    fromEarlierLives.remove(load);
+    fromEarlierProcesses.remove(load);
   }
 
-  /** The runner started again, or is gone. */
-  void newLife() {
-    fromEarlierLives.putAll(pending);
+  /** Records that the runner restarted or no longer exists. */
+  void runnerRestarted() {
+    fromEarlierProcesses.putAll(pending);
     pending.clear();
   }
 
@@ -48,17 +52,17 @@
     return loads(now, true).size();
   }
 
-  /** Returns whether nothing may still be loaded by an order of an earlier life. */
+  /** Returns whether no order to an earlier process can still load anything. */
   boolean isEmpty(long now) {
-    fromEarlierLives.values().removeIf(until -> until < now);
-    return fromEarlierLives.isEmpty();
+    fromEarlierProcesses.values().removeIf(until -> until < now);
+    return fromEarlierProcesses.isEmpty();
   }
 
   private Set<String> loads(long now, boolean adapters) {
     if (isEmpty(now)) {
       return Set.of();
     }
-    Set<String> loads = new HashSet<>(fromEarlierLives.keySet());
+    Set<String> loads = new HashSet<>(fromEarlierProcesses.keySet());
     loads.removeIf(load -> load.contains("/") != adapters);
     return loads;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrdersByRunner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrdersByRunner.java
@@ -5,24 +5,24 @@
 import java.util.function.Predicate;
 
 /**
- * The late orders of each runner, also while its entry is away.
+ * Holds the outstanding orders of each runner, including runners whose entry has expired.
  *
  * <p>Confined to one event loop.
  */
 final class OutstandingOrdersByRunner {
   private final Map<String, OutstandingOrders> orders = new HashMap<>();
 
-  /** Returns the late orders of a runner, which the caller may keep and change. */
+  /** Returns the outstanding orders of a runner; the caller may retain and modify them. */
   OutstandingOrders of(String runner) {
     return orders.computeIfAbsent(runner, ignored -> new OutstandingOrders());
   }
 
-  /** A runner is gone; it may come back as another life. */
-  void gone(String runner) {
-    of(runner).newLife();
+  /** Records that a runner no longer exists; it may return as a new process. */
+  void runnerRemoved(String runner) {
+    of(runner).runnerRestarted();
   }
 
-  /** Forgets runners that are not known and that no late order can reach. */
+  /** Removes unknown runners that no delayed order can reach any more. */
   void forget(Predicate<String> known, long now) {
     orders
         .entrySet()
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PeerInbox.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PeerInbox.java
@@ -7,71 +7,70 @@
 import org.agatefield.model.Instance;
 import org.agatefield.peer.PeerMessage;
 
-/** Hands what peers send to the part that it is for. Confined to one event loop. */
+/** Dispatches messages and requests of peers to their handlers. Confined to one event loop. */
 final class PeerInbox implements ForwardingPeers.Listener {
-  private final SnapshotExchange knowledge;
-  private final Map<String, ObjectRelay> knowledgeRelays;
+  private final SnapshotExchange snapshots;
+  private final Map<String, ObjectRelay> relays;
   private final LoadExchange loads;
   private final PlannerClient planner;
-  private final RunnerAvailability notices;
+  private final RunnerAvailability availability;
   private final RegionalQuotaPolicy quotas;
 
   /**
    * Creates an inbox.
    *
-   * @param knowledgeRelays by the plural of the kind that each tells of
+   * @param relays by the plural name of the object kind
    */
   PeerInbox(
-      SnapshotExchange knowledge,
-      Map<String, ObjectRelay> knowledgeRelays,
+      SnapshotExchange snapshots,
+      Map<String, ObjectRelay> relays,
       LoadExchange loads,
       PlannerClient planner,
-      RunnerAvailability notices,
+      RunnerAvailability availability,
       RegionalQuotaPolicy quotas) {
-    this.knowledge = knowledge;
-    this.knowledgeRelays = knowledgeRelays;
+    this.snapshots = snapshots;
+    this.relays = relays;
     this.loads = loads;
     this.planner = planner;
-    this.notices = notices;
+    this.availability = availability;
     this.quotas = quotas;
   }
 
   @Override
   public void configurationAnnounced(Instance holder, long version) {
-    knowledge.heard(holder, version);
+    snapshots.versionAnnounced(holder, version);
   }
 
   @Override
   public void received(PeerMessage message) {
     if (message instanceof PeerMessage.RunnerLoadReport report) {
-      loads.heard(report, MonotonicClock.milliseconds());
+      loads.reportReceived(report, MonotonicClock.milliseconds());
     } else if (message instanceof PeerMessage.ModelDemandReport report) {
-      planner.heard(report);
+      planner.received(report);
     } else if (message instanceof PeerMessage.PlannerNotice notice) {
-      planner.heard(notice);
+      planner.received(notice);
     } else if (message instanceof PeerMessage.ModelNotice notice) {
-      planner.heard(notice);
+      planner.received(notice);
     } else if (message instanceof PeerMessage.RunnerNotice notice) {
-      notices.heard(notice, MonotonicClock.milliseconds());
+      availability.noticeReceived(notice, MonotonicClock.milliseconds());
     } else if (message instanceof PeerMessage.QuotaReturn returned) {
-      quotas.heard(returned);
+      quotas.tokensReturned(returned);
     }
   }
 
   @Override
   public CompletableFuture<PeerMessage> requested(PeerMessage request) {
-    if (request instanceof PeerMessage.SnapshotRequest asked) {
-      return CompletableFuture.completedFuture(knowledge.answer(asked));
+    if (request instanceof PeerMessage.SnapshotRequest query) {
+      return CompletableFuture.completedFuture(snapshots.answer(query));
     }
-    if (request instanceof PeerMessage.ObjectsRequest asked
-        && knowledgeRelays.containsKey(asked.kind())) {
-      return knowledgeRelays.get(asked.kind()).answer(asked);
+    if (request instanceof PeerMessage.ObjectsRequest query && relays.containsKey(query.kind())) {
+      return relays.get(query.kind()).answer(query);
     }
-    if (request instanceof PeerMessage.QuotaRequest asked) {
-      return quotas.answer(asked);
+    if (request instanceof PeerMessage.QuotaRequest query) {
+      return quotas.answer(query);
     }
-    if (request instanceof PeerMessage.AdapterRequest asked) {
-      return planner.answer(asked);
+    if (request instanceof PeerMessage.AdapterRequest query) {
+      return planner.answer(query);
     }
     return CompletableFuture.failedFuture(
         new AgatefieldException(ErrorKind.INTERNAL, "the request has no answer"));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
@@ -11,22 +11,22 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Joins this instance and the planner, wherever it runs: demand and wishes for adapters go there,
- * what is placed comes back.
+ * Connects this instance with the current planner: sends demand and adapter requests to it and
+ * applies its placement notices.
  *
- * <p>Invariant: of two planners the one with the higher fencing token is believed. Confined to one
+ * <p>Invariant: of two planners the one with the higher fencing token is accepted. Confined to one
  * event loop.
  */
 final class PlannerClient implements ModelPlanner.Announcements {
-  /** How often {@link #reportDemand()} is to be called. */
-  static final long DEMAND_MILLISECONDS = 240; // a fraction of the time that a model takes to load
+  /** Interval at which {@link #reportDemand()} must be called. */
+  static final long DEMAND_MILLISECONDS = 240; // A fraction of the load time of a model.
 
-  /** How often {@link #announce()} is to be called. */
-  static final long NOTICE_MILLISECONDS = 480; // a fraction of a takeover
+  /** Interval at which {@link #announce()} must be called. */
+  static final long NOTICE_MILLISECONDS = 480; // A fraction of the takeover time.
 
   private static final Logger LOGGER = LogManager.getLogger(PlannerClient.class);
-  private static final long ADAPTER_ANSWER_MILLISECONDS = 1_200;
-  private static final long PLANNER_SILENCE_MILLISECONDS = 4_000;
+  private static final long ADAPTER_TIMEOUT_MILLISECONDS = 1_200;
+  private static final long PLANNER_TIMEOUT_MILLISECONDS = 4_000;
 
   private final ForwardingPeers peers;
   private final ModelPresence presence;
@@ -36,12 +36,12 @@
   private final String self;
   private ModelPlanner planner;
   private Optional<PeerMessage.PlannerNotice> notice = Optional.empty();
-  private long heardAt;
+  private long noticeReceivedAt;
 
   /**
-   * Creates a link.
+   * Creates a client.
    *
-   * @param refreshLease has the planner's lease read soon
+   * @param refreshLease requests an early read of the planner lease
    */
   PlannerClient(
       ForwardingPeers peers,
@@ -57,24 +57,24 @@
     this.self = peers.self().id();
   }
 
-  /** Sets the planner of this instance, which plans while it holds the lease. */
-  void join(ModelPlanner own) {
-    planner = own;
+  /** Sets the local planner, which is active while this instance holds the lease. */
+  void connectLocalPlanner(ModelPlanner localPlanner) {
+    planner = localPlanner;
   }
 
   CompletableFuture<Boolean> ensureAdapter(String runner, String model, String adapter) {
     if (planner.fencingToken().isPresent()) {
       return planner.ensureAdapter(runner, model, adapter);
     }
-    Optional<Instance> holder = holder();
-    if (holder.isEmpty()) {
+    Optional<Instance> plannerInstance = plannerInstance();
+    if (plannerInstance.isEmpty()) {
       return CompletableFuture.completedFuture(false);
     }
     return peers
         .request(
-            holder.get(),
+            plannerInstance.get(),
             new PeerMessage.AdapterRequest(runner, model, adapter),
-            ADAPTER_ANSWER_MILLISECONDS)
+            ADAPTER_TIMEOUT_MILLISECONDS)
         .handle(
             (answer, failure) -> {
               if (failure != null) {
@@ -83,14 +83,14 @@
                     model,
                     adapter,
                     runner,
-                    holder.get().id(),
+                    plannerInstance.get().id(),
                     failure.toString());
               }
               return answer instanceof PeerMessage.AdapterAnswer known && known.present();
             });
   }
 
-  /** Sends what was asked for since the call before. */
+  /** Reports the demand since the previous call to the planner. */
   void reportDemand() {
     List<ModelDemand> demands = demand.take();
     if (planner.fencingToken().isPresent()) {
@@ -98,51 +98,54 @@
       return;
     }
     if (!demands.isEmpty()) {
-      holder()
+      plannerInstance()
           .ifPresent(
               instance -> peers.send(instance, new PeerMessage.ModelDemandReport(self, demands)));
     }
   }
 
-  /** Tells the others if this instance plans; forgets a planner that left or fell silent. */
+  /**
+   * Broadcasts that this instance is the planner, if it is; forgets a planner that has left or is
+   * silent.
+   */
   void announce() {
     planner.fencingToken().ifPresent(this::tookOver);
     boolean left =
         notice.isPresent()
-            && holder().filter(member -> member.state() == InstanceState.LIVE).isEmpty();
+            && plannerInstance().filter(member -> member.state() == InstanceState.LIVE).isEmpty();
     if (left) {
       LOGGER.info("planner={} left=true", notice.get().instance());
       notice = Optional.empty();
       refreshLease.run();
     }
-    long silent = MonotonicClock.milliseconds() - heardAt;
-    if (notice.isPresent() && silent > PLANNER_SILENCE_MILLISECONDS) {
+    long silent = MonotonicClock.milliseconds() - noticeReceivedAt;
+    if (notice.isPresent() && silent > PLANNER_TIMEOUT_MILLISECONDS) {
       LOGGER.info("planner={} silent_ms={}", notice.get().instance(), silent);
       notice = Optional.empty();
     }
   }
 
-  void heard(PeerMessage.PlannerNotice heard) {
-    boolean newer = notice.isEmpty() || heard.fencingToken() >= notice.get().fencingToken();
+  void received(PeerMessage.PlannerNotice received) {
+    boolean newer = notice.isEmpty() || received.fencingToken() >= notice.get().fencingToken();
     if (!newer) {
       return;
     }
-    if (notice.isEmpty() || !notice.get().equals(heard)) {
-      LOGGER.info("planner={} token={}", heard.instance(), heard.fencingToken());
+    if (notice.isEmpty() || !notice.get().equals(received)) {
+      LOGGER.info("planner={} token={}", received.instance(), received.fencingToken());
     }
-    notice = Optional.of(heard);
-    heardAt = MonotonicClock.milliseconds();
+    notice = Optional.of(received);
+    noticeReceivedAt = MonotonicClock.milliseconds();
   }
 
-  void heard(PeerMessage.ModelNotice change) {
+  void received(PeerMessage.ModelNotice change) {
     apply(change);
   }
 
-  void heard(PeerMessage.ModelDemandReport report) {
+  void received(PeerMessage.ModelDemandReport report) {
     planner.demandReported(report.instance(), report.demands());
   }
 
-  /** Answers another instance that wishes for an adapter. */
+  /** Handles an adapter request of another instance. */
   CompletableFuture<PeerMessage> answer(PeerMessage.AdapterRequest request) {
     return planner
         .ensureAdapter(request.runner(), request.model(), request.adapter())
@@ -151,17 +154,19 @@
 
   @Override
   public void loaded(String runner, String model) {
-    applyAndTell(new PeerMessage.ModelNotice(runner, model, PeerMessage.ModelChange.LOADED, 0));
+    applyAndBroadcast(
+        new PeerMessage.ModelNotice(runner, model, PeerMessage.ModelChange.LOADED, 0));
   }
 
   @Override
   public void dropping(String runner, String model) {
-    applyAndTell(new PeerMessage.ModelNotice(runner, model, PeerMessage.ModelChange.DROPPING, 0));
+    applyAndBroadcast(
+        new PeerMessage.ModelNotice(runner, model, PeerMessage.ModelChange.DROPPING, 0));
   }
 
   @Override
   public void loading(String runner, String model, long expectedMilliseconds) {
-    applyAndTell(
+    applyAndBroadcast(
         new PeerMessage.ModelNotice(
             runner, model, PeerMessage.ModelChange.LOADING, expectedMilliseconds));
   }
@@ -171,7 +176,7 @@
     peers.broadcast(new PeerMessage.PlannerNotice(self, fencingToken));
   }
 
-  private void applyAndTell(PeerMessage.ModelNotice change) {
+  private void applyAndBroadcast(PeerMessage.ModelNotice change) {
     peers.broadcast(change);
     apply(change);
   }
@@ -191,7 +196,7 @@
     }
   }
 
-  private Optional<Instance> holder() {
+  private Optional<Instance> plannerInstance() {
     return notice.flatMap(known -> peers.member(known.instance()));
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/QuotaHolders.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/QuotaHolders.java
@@ -11,23 +11,23 @@
 import org.agatefield.routing.HomeInstances;
 
 /**
- * Which instance holds the quota of a client account in each region.
+ * Determines which instance holds the quota of a client account in each region.
  *
- * <p>Instances with the same view agree on it; one that comes or goes changes only the accounts
- * that it holds. Confined to one thread.
+ * <p>Instances that see the same members choose the same holders. When an instance joins or leaves,
+ * only the accounts that it holds move. Confined to one thread.
  */
 final class QuotaHolders {
   private final HomeInstances ranking = new HomeInstances(1, 1);
   private final Map<String, Map<String, Instance>> holdersByAccount = new HashMap<>();
   private final Map<String, List<Instance>> instancesByRegion = new TreeMap<>();
-  private List<Instance> known = List.of();
+  private List<Instance> currentInstances = List.of();
 
-  /** Takes the instances that answer now; the same list again costs nothing. */
-  void see(List<Instance> answering) {
-    if (answering == known) {
+  /** Updates the responsive instances; passing the same list object again is free. */
+  void update(List<Instance> answering) {
+    if (answering == currentInstances) {
       return;
     }
-    known = answering;
+    currentInstances = answering;
     holdersByAccount.clear();
     instancesByRegion.clear();
     for (Instance instance : answering) {
@@ -39,12 +39,14 @@
     }
   }
 
-  /** Returns the number of instances that were seen in a region. */
+  /** Returns the number of live instances in a region. */
   int count(String region) {
     return instancesByRegion.getOrDefault(region, List.of()).size();
   }
 
-  /** Returns the holder of an account's quota in a region; empty if no instance is seen there. */
+  /**
+   * Returns the holder of an account's quota in a region; empty if the region has no live instance.
+   */
   Optional<Instance> holder(String account, String region) {
     return Optional.ofNullable(holders(account).get(region));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/QuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/QuotaPolicy.java
@@ -6,31 +6,35 @@
 /** Decides whether a client account's quota allows a request. Confined to one event loop. */
 interface QuotaPolicy {
   /**
-   * Decides about one request; tells the decision once, perhaps before it returns.
+   * Decides on one request; passes the decision to {@code onDecision} exactly once, possibly before
+   * returning.
    *
    * @param account has a quota
-   * @param tokens what the request counts
-   * @param patienceMilliseconds how long the request may wait for the decision
+   * @param tokens the cost of the request
+   * @param timeoutMilliseconds how long the request may wait for the decision
    */
   void decide(
-      ClientAccount account, double tokens, long patienceMilliseconds, Consumer<Decision> told);
+      ClientAccount account,
+      double tokens,
+      long timeoutMilliseconds,
+      Consumer<Decision> onDecision);
 
-  /** Gives the tokens of a granted request back that has not run and never will. */
-  void giveBack(ClientAccount account, double tokens);
+  /** Refunds the tokens of a granted request that has not run and never will. */
+  void refund(ClientAccount account, double tokens);
 
-  /** What was decided. */
+  /** The outcome of a quota check. */
   sealed interface Decision {
-    /** The request may be sent; its tokens are taken. */
+    /** The request may be sent; its tokens have been taken. */
     record Granted() implements Decision {}
 
     /**
-     * The quota is used up. Immutable.
+     * The quota is exhausted. Immutable.
      *
-     * @param waitMilliseconds how long until it allows the request
+     * @param waitMilliseconds time until the quota allows the request
      */
     record Exhausted(long waitMilliseconds) implements Decision {}
 
-    /** Nobody who could say was reached. */
+    /** No instance that could decide was reachable. */
     record Unknown() implements Decision {}
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -26,59 +26,73 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Has one instance of each region hold the quota of a client account, and ask the holders of other
- * regions for a loan when its part is used up.
+ * Enforces quotas through one holder instance per region and client account; a holder whose share
+ * is used up borrows tokens from the holders of other regions.
  *
- * <p>Answers accounts whose requests are few or come to few instances, where equal parts refuse
- * what is below the quota, and accounts that flood many instances at once. A region's part follows
- * the instances that are seen there, out of the most that were seen lately, so that parted regions
- * together keep to the quota. An instance that reaches no holder grants its own equal part, which
- * it earns from then on. Confined to one event loop.
+ * <p>With equal shares per instance, accounts that send few requests, or send them to few
+ * instances, would be refused although they are below their quota. A single holder per region
+ * avoids this and also limits accounts that flood many instances at once. A region's share is the
+ * number of instances visible in the region divided by the highest recent number of instances in
+ * the fleet, so that partitioned regions together stay within the quota. An instance that cannot
+ * reach a holder grants from its own equal share, which starts to refill at that moment. Confined
+ * to one event loop.
  */
 final class RegionalQuotaPolicy implements QuotaPolicy {
-  /** How often {@link #keep} is to be called. */
-  static final long KEEP_MILLISECONDS = 240;
+  /** Interval at which {@link #refresh} must be called. */
+  static final long REFRESH_MILLISECONDS = 240;
 
   private static final Logger LOGGER = LogManager.getLogger(RegionalQuotaPolicy.class);
-  private static final long ASK_MILLISECONDS = 700; // a holder with a tenth of a core is slow
-  private static final long LOAN_MILLISECONDS = 300; // five times the way between regions
-  private static final long RETRY_MILLISECONDS = 150; // several are tried in a holder's failure
-  private static final long LONGEST_WAIT_MILLISECONDS = 400; // less than a refused caller loses
-  private static final long LONGEST_EXHAUSTION_MILLISECONDS = 300; // tokens may come back meanwhile
-  // Until then the others may still count on this instance's part.
-  private static final long OWN_PART_MILLISECONDS = 2_500;
-  private static final long NO_LOAN_MILLISECONDS = 120; // twice the way between regions
-  private static final double LENT_SHARE = 0.75; // the rest serves requests of the lender's region
-  private static final double LOW_SHARE = 0.4; // of the capacity; below it a loan is asked for
-  private static final double WANTED_SHARE = 0.6; // of the capacity, once the loan has come
+  private static final long REQUEST_TIMEOUT_MILLISECONDS =
+      700; // Holders limited to 0.1 core respond slowly.
+  private static final long LOAN_TIMEOUT_MILLISECONDS =
+      300; // Five times the latency between regions.
+  private static final long RETRY_MILLISECONDS =
+      150; // Allows several attempts during a holder failure.
+  private static final long MAXIMUM_WAIT_MILLISECONDS =
+      400; // Shorter than the time a caller loses when it is refused.
+  private static final long MAXIMUM_EXHAUSTION_MILLISECONDS =
+      300; // Refunds may make tokens available earlier.
+  // Other instances may still count on this instance's share until this time has passed.
+  private static final long LOCAL_SHARE_DELAY_MILLISECONDS = 2_500;
+  private static final long LOAN_PAUSE_MILLISECONDS = 120; // Twice the latency between regions.
+  private static final double MAXIMUM_LENT_SHARE =
+      0.75; // The rest is reserved for requests of the lender's region.
+  private static final double LOW_SHARE =
+      0.4; // Fraction of the capacity below which a loan is requested.
+  private static final double TARGET_SHARE = 0.6; // Fraction of the capacity to reach with a loan.
 
   private final Timers timers;
   private final LongSupplier clock;
   private final Fleet fleet;
   private final QuotaTolerance tolerance;
-  private final FleetSize size;
+  private final FleetSize fleetSize;
   private final Supplier<AccountTable> accounts;
   private final QuotaHolders holders = new QuotaHolders();
   private final QuotaBuckets buckets = new QuotaBuckets();
-  private final EqualShareQuotaPolicy ownParts;
-  private final Set<String> unreached = new HashSet<>();
-  private final Set<String> greeted = new HashSet<>(); // by the instance's identifier
-  private final Map<String, Long> noLoanUntil = new HashMap<>();
+  private final EqualShareQuotaPolicy localShares;
+  private final Set<String> accountsWithoutHolder = new HashSet<>();
+  private final Set<String> contactedHolders = new HashSet<>(); // Instance identifiers.
+  private final Map<String, Long> loanPausedUntil = new HashMap<>();
   private final Map<String, Long> exhaustedUntil = new HashMap<>();
   private boolean leaving;
 
-  /** The other instances, as far as quotas need them. */
+  /** Provides the instances and the messaging that quotas need. */
   interface Fleet {
-    /** Returns this instance. */
     Instance self();
 
-    /** Returns the instances that answer, this one included; the same list while none changes. */
+    /**
+     * Returns the responsive instances including this one; returns the same list object while
+     * nothing changes.
+     */
     List<Instance> answering();
 
-    /** Returns whether no other instance has been heard lately though there are some. */
+    /**
+     * Returns whether nothing has been received from any other instance recently although others
+     * exist.
+     */
     boolean isIsolated();
 
-    /** Sends a message that may be lost. */
+    /** Sends a message without delivery guarantee. */
     void send(Instance instance, PeerMessage message);
 
     /** Sends a request; the future completes on the event loop. */
@@ -86,67 +100,75 @@
         Instance instance, PeerMessage message, long limitMilliseconds);
   }
 
-  /** Runs something later on the event loop. */
+  /** Schedules tasks on the event loop. */
   @FunctionalInterface
   interface Timers {
-    void after(long milliseconds, Runnable work);
+    void after(long milliseconds, Runnable task);
   }
 
   /**
    * Creates a policy that holds no quota yet.
    *
-   * @param clock gives monotonic milliseconds
+   * @param clock returns monotonic milliseconds
    */
   RegionalQuotaPolicy(
       Timers timers,
       LongSupplier clock,
       Fleet fleet,
       QuotaTolerance tolerance,
-      FleetSize size,
+      FleetSize fleetSize,
       Supplier<AccountTable> accounts) {
     this.timers = timers;
     this.clock = clock;
     this.fleet = fleet;
     this.tolerance = tolerance;
-    this.size = size;
+    this.fleetSize = fleetSize;
     this.accounts = accounts;
-    this.ownParts = EqualShareQuotaPolicy.whileCutOff(tolerance, size, clock);
+    this.localShares = EqualShareQuotaPolicy.whileIsolated(tolerance, fleetSize, clock);
   }
 
-  /** Lets the buckets of the accounts that this instance holds earn before they are asked for. */
-  void keep(long now) {
-    holders.see(fleet.answering());
-    greetOneHolder();
+  /**
+   * Refills the buckets of the accounts that this instance holds, and requests loans for those that
+   * run low, before requests need the tokens.
+   */
+  void refresh(long now) {
+    holders.update(fleet.answering());
+    connectToOneHolder();
     for (ClientAccount account : accounts.get().accounts()) {
-      if (account.quota().isPresent() && isHeldHere(account.name())) {
+      if (account.quota().isPresent() && isHolder(account.name())) {
         QuotaBucket bucket = bucket(account, now);
-        if (!refusedLoanLately(account, now) && bucket.level(now) < LOW_SHARE * bucket.capacity()) {
+        if (!isLoanPaused(account, now) && bucket.level(now) < LOW_SHARE * bucket.capacity()) {
           borrow(account, 0, holders.others(account.name(), region()));
         }
       }
     }
-    buckets.forgetUnused(this::isHeldHere, now);
+    buckets.forgetUnused(this::isHolder, now);
   }
 
-  /** Opens the connection to a holder before a request has to wait for it. */
-  private void greetOneHolder() {
+  /** Opens the connection to one holder in advance, so that no request has to wait for it. */
+  private void connectToOneHolder() {
     for (ClientAccount account : accounts.get().accounts()) {
       Optional<Instance> holder = holders.holder(account.name(), region());
-      boolean stranger =
+      boolean notContacted =
           account.quota().isPresent()
               && holder.isPresent()
-              && !isHeldHere(account.name())
-              && greeted.add(holder.get().id());
-      if (stranger) {
+              && !isHolder(account.name())
+              && contactedHolders.add(holder.get().id());
+      if (notContacted) {
         fleet.request(
-            holder.get(), new PeerMessage.QuotaRequest(account.name(), 0, false), ASK_MILLISECONDS);
+            holder.get(),
+            new PeerMessage.QuotaRequest(account.name(), 0, false),
+            REQUEST_TIMEOUT_MILLISECONDS);
         return;
       }
     }
   }
 
-  /** Hands what this instance holds to those that hold it next; called once it leaves. */
-  void handOver() {
+  /**
+   * Transfers the tokens held by this instance to the next holders; called once when this instance
+   * leaves.
+   */
+  void transferToNextHolders() {
     leaving = true;
     long now = clock.getAsLong();
     List<Instance> staying =
@@ -154,7 +176,7 @@
             .filter(instance -> !instance.id().equals(fleet.self().id()))
             .toList();
     QuotaHolders next = new QuotaHolders();
-    next.see(staying);
+    next.update(staying);
     buckets
         .drain(now)
         .forEach(
@@ -168,21 +190,24 @@
 
   @Override
   public void decide(
-      ClientAccount account, double tokens, long patienceMilliseconds, Consumer<Decision> told) {
+      ClientAccount account,
+      double tokens,
+      long timeoutMilliseconds,
+      Consumer<Decision> onDecision) {
     long now = clock.getAsLong();
     long until = exhaustedUntil.getOrDefault(account.name(), now);
     if (until > now) {
-      told.accept(new Decision.Exhausted(until - now));
+      onDecision.accept(new Decision.Exhausted(until - now));
       return;
     }
-    new Asking(account, tokens, patienceMilliseconds, told).ask();
+    new DecisionRequest(account, tokens, timeoutMilliseconds, onDecision).requestDecision();
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
-    holders.see(fleet.answering());
-    if (isHeldHere(account.name())) {
-      takeBack(account, tokens);
+  public void refund(ClientAccount account, double tokens) {
+    holders.update(fleet.answering());
+    if (isHolder(account.name())) {
+      refundToBucket(account, tokens);
       return;
     }
     holders
@@ -191,12 +216,12 @@
             holder -> fleet.send(holder, new PeerMessage.QuotaReturn(account.name(), tokens)));
   }
 
-  /** Another instance gives tokens back. */
-  void heard(PeerMessage.QuotaReturn returned) {
-    account(returned.account()).ifPresent(account -> takeBack(account, returned.tokens()));
+  /** Adds tokens returned by another instance to the account's bucket. */
+  void tokensReturned(PeerMessage.QuotaReturn returned) {
+    account(returned.account()).ifPresent(account -> refundToBucket(account, returned.tokens()));
   }
 
-  private void takeBack(ClientAccount account, double tokens) {
+  private void refundToBucket(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
     bucket(account, now).giveBack(tokens, now);
   }
@@ -207,7 +232,7 @@
         .findFirst();
   }
 
-  /** Answers another instance. */
+  /** Responds to a token or loan request of another instance. */
   CompletableFuture<PeerMessage> answer(PeerMessage.QuotaRequest request) {
     Optional<ClientAccount> account = account(request.account());
     if (account.isEmpty() || leaving) {
@@ -217,19 +242,20 @@
     long now = clock.getAsLong();
     if (request.loan()) {
       QuotaBucket bucket = bucket(account.get(), now);
-      double lent = bucket.lend(Math.min(request.tokens(), LENT_SHARE * bucket.level(now)), now);
+      double lent =
+          bucket.lend(Math.min(request.tokens(), MAXIMUM_LENT_SHARE * bucket.level(now)), now);
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(lent, 0));
     }
     return take(account.get(), request.tokens()).thenApply(answer -> answer);
   }
 
-  /** Returns whether this instance holds an account's quota in its region. */
+  /** Returns whether this instance holds the account's quota in its region. */
   boolean holds(String account) {
-    holders.see(fleet.answering());
-    return isHeldHere(account);
+    holders.update(fleet.answering());
+    return isHolder(account);
   }
 
-  private boolean isHeldHere(String account) {
+  private boolean isHolder(String account) {
     return holders
         .holder(account, region())
         .filter(holder -> holder.id().equals(fleet.self().id()))
@@ -241,15 +267,17 @@
   }
 
   private QuotaBucket bucket(ClientAccount account, long now) {
-    holders.see(fleet.answering());
+    holders.update(fleet.answering());
     TokenQuota quota = account.quota().orElseThrow();
-    double seen = Math.max(1, holders.count(region()));
+    double visible = Math.max(1, holders.count(region()));
     TokenRate rate =
-        tolerance.rate(quota.perSecond(), quota.burst()).scaled(Math.min(1, seen / size.most(now)));
+        tolerance
+            .rate(quota.perSecond(), quota.burst())
+            .scaled(Math.min(1, visible / fleetSize.most(now)));
     return buckets.bucket(account.name(), rate, now);
   }
 
-  /** Takes tokens from the bucket held here, with loans of other regions if it lacks some. */
+  /** Takes tokens from the local bucket; borrows from other regions if there are too few. */
   private CompletableFuture<PeerMessage.QuotaAnswer> take(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
     QuotaBucket bucket = bucket(account, now);
@@ -257,20 +285,20 @@
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
     List<Instance> lenders = holders.others(account.name(), region());
-    if (refusedLoanLately(account, now) || lenders.isEmpty()) {
+    if (isLoanPaused(account, now) || lenders.isEmpty()) {
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
     }
     return borrow(account, tokens, lenders);
   }
 
-  private boolean refusedLoanLately(ClientAccount account, long now) {
-    return noLoanUntil.getOrDefault(account.name(), now) > now;
+  private boolean isLoanPaused(ClientAccount account, long now) {
+    return loanPausedUntil.getOrDefault(account.name(), now) > now;
   }
 
   /**
-   * Asks the lenders one after the other until the tokens are there.
+   * Requests loans from the lenders in turn until enough tokens are available.
    *
-   * @param tokens what a request waits for; 0 to fill the bucket up only
+   * @param tokens the tokens that a request needs; 0 only refills the bucket
    */
   private CompletableFuture<PeerMessage.QuotaAnswer> borrow(
       ClientAccount account, double tokens, List<Instance> lenders) {
@@ -279,21 +307,21 @@
     if (tokens > 0 && bucket.tryTake(tokens, now)) {
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
-    double room = Math.max(0, WANTED_SHARE * bucket.capacity() - bucket.level(now));
-    double wanted = bucket.lacking(tokens, now) + room;
-    if (lenders.isEmpty() || wanted <= 0) {
-      noLoanUntil.put(account.name(), now + NO_LOAN_MILLISECONDS);
+    double shortfall = Math.max(0, TARGET_SHARE * bucket.capacity() - bucket.level(now));
+    double requested = bucket.lacking(tokens, now) + shortfall;
+    if (lenders.isEmpty() || requested <= 0) {
+      loanPausedUntil.put(account.name(), now + LOAN_PAUSE_MILLISECONDS);
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
     }
-    PeerMessage request = new PeerMessage.QuotaRequest(account.name(), wanted, true);
+    PeerMessage request = new PeerMessage.QuotaRequest(account.name(), requested, true);
     List<Instance> rest = lenders.subList(1, lenders.size());
     return fleet
-        .request(lenders.get(0), request, LOAN_MILLISECONDS)
-        .handle((answer, failure) -> lent(account, answer, failure))
+        .request(lenders.get(0), request, LOAN_TIMEOUT_MILLISECONDS)
+        .handle((answer, failure) -> addLoan(account, answer, failure))
         .thenCompose(lent -> borrow(account, tokens, rest));
   }
 
-  private double lent(ClientAccount account, PeerMessage answer, Throwable failure) {
+  private double addLoan(ClientAccount account, PeerMessage answer, Throwable failure) {
     if (!(answer instanceof PeerMessage.QuotaAnswer loan)) {
       LOGGER.debug("account={} loan failed=\"{}\"", account.name(), String.valueOf(failure));
       return 0;
@@ -307,26 +335,28 @@
     return new PeerMessage.QuotaAnswer(0, Math.max(1, bucket.millisecondsUntil(tokens, now)));
   }
 
-  /** One request's way to a decision. */
-  private final class Asking {
+  /** Obtains the quota decision for one request, with retries. */
+  private final class DecisionRequest {
     private final ClientAccount account;
     private final double tokens;
-    private final long giveUpAt;
+    private final long expiresAt;
     private final long waitUntil;
-    private final Consumer<Decision> told;
+    private final Consumer<Decision> onDecision;
 
-    Asking(
-        ClientAccount account, double tokens, long patienceMilliseconds, Consumer<Decision> told) {
+    DecisionRequest(
+        ClientAccount account,
+        double tokens,
+        long timeoutMilliseconds,
+        Consumer<Decision> onDecision) {
       this.account = account;
       this.tokens = tokens;
-      this.giveUpAt = clock.getAsLong() + patienceMilliseconds;
-      this.waitUntil =
-          clock.getAsLong() + Math.min(LONGEST_WAIT_MILLISECONDS, patienceMilliseconds);
-      this.told = told;
+      this.expiresAt = clock.getAsLong() + timeoutMilliseconds;
+      this.waitUntil = clock.getAsLong() + Math.min(MAXIMUM_WAIT_MILLISECONDS, timeoutMilliseconds);
+      this.onDecision = onDecision;
     }
 
-    void ask() {
-      holders.see(fleet.answering());
+    void requestDecision() {
+      holders.update(fleet.answering());
       Optional<Instance> holder = holders.holder(account.name(), region());
       if (holder.isEmpty() || fleet.isIsolated()) {
         failed("no other instance is heard");
@@ -340,11 +370,11 @@
           .request(
               holder.get(),
               new PeerMessage.QuotaRequest(account.name(), tokens, false),
-              ASK_MILLISECONDS)
+              REQUEST_TIMEOUT_MILLISECONDS)
           .whenComplete(
               (answer, failure) -> {
-                if (answer instanceof PeerMessage.QuotaAnswer known) {
-                  answered(known);
+                if (answer instanceof PeerMessage.QuotaAnswer decided) {
+                  answered(decided);
                 } else {
                   failed(holder.get().id() + ": " + failure);
                 }
@@ -352,32 +382,32 @@
     }
 
     private void answered(PeerMessage.QuotaAnswer answer) {
-      unreached.remove(account.name());
+      accountsWithoutHolder.remove(account.name());
       if (answer.grantedTokens() >= tokens) {
-        told.accept(new Decision.Granted());
+        onDecision.accept(new Decision.Granted());
         return;
       }
       long wait = Math.max(1, answer.waitMilliseconds());
       long now = clock.getAsLong();
       if (now + wait <= waitUntil) {
-        timers.after(wait, this::ask);
+        timers.after(wait, this::requestDecision);
         return;
       }
-      exhaustedUntil.put(account.name(), now + Math.min(LONGEST_EXHAUSTION_MILLISECONDS, wait));
-      told.accept(new Decision.Exhausted(wait));
+      exhaustedUntil.put(account.name(), now + Math.min(MAXIMUM_EXHAUSTION_MILLISECONDS, wait));
+      onDecision.accept(new Decision.Exhausted(wait));
     }
 
     private void failed(String cause) {
-      if (unreached.add(account.name())) {
+      if (accountsWithoutHolder.add(account.name())) {
         LOGGER.info("account={} quota holder unreached=\"{}\"", account.name(), cause);
-        ownParts.begin(account.name(), clock.getAsLong() + OWN_PART_MILLISECONDS);
+        localShares.restart(account.name(), clock.getAsLong() + LOCAL_SHARE_DELAY_MILLISECONDS);
       }
-      if (ownParts.decide(account, tokens) instanceof Decision.Granted granted) {
-        told.accept(granted);
-      } else if (clock.getAsLong() + RETRY_MILLISECONDS < giveUpAt) {
-        timers.after(RETRY_MILLISECONDS, this::ask);
+      if (localShares.decide(account, tokens) instanceof Decision.Granted granted) {
+        onDecision.accept(granted);
+      } else if (clock.getAsLong() + RETRY_MILLISECONDS < expiresAt) {
+        timers.after(RETRY_MILLISECONDS, this::requestDecision);
       } else {
-        told.accept(new Decision.Unknown());
+        onDecision.accept(new Decision.Unknown());
       }
     }
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
@@ -24,35 +24,37 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Learns the store's objects from instances that watch the store, or from the store itself.
+ * Reads the store's objects from instances that watch the store, or from the store itself.
  *
- * <p>Answers the load of many instances that each watch a store whose calls are counted and paid
- * for. The sources are tried in their order; the store is asked if there are none, or if none
- * answers, and then at most each {@link #STORE_PAUSE_MILLISECONDS}. Any failure of a source ends
- * the watch as gone, so that the next list chooses again. Invariant: whoever is its own source
- * returns to the others within {@link #STORE_WATCH_MILLISECONDS} after they are there. Safe for use
- * by any thread.
+ * <p>Store calls are counted and charged, so that not every instance of a large fleet may watch the
+ * store. The relay sources are tried in order; the store is read if there are none, or if none
+ * responds, and then at most once per {@link #STORE_PAUSE_MILLISECONDS}. Any failure of a source
+ * ends the watch with {@code VERSION_GONE}, so that the next list selects a source again.
+ * Invariant: an instance that watches the store itself switches back to relays within {@link
+ * #STORE_WATCH_MILLISECONDS} after they are available. Safe for use by any thread.
  */
 final class RelayedObjectSource implements ObjectSource {
   private static final Logger LOGGER = LogManager.getLogger(RelayedObjectSource.class);
-  private static final String RELAYED = "relayed/";
-  private static final int WAIT_MILLISECONDS =
-      1_000; // a source that stands still is found in 1.3 s
-  private static final long ANSWER_MILLISECONDS = 300; // beyond the wait; sources are near
+  private static final String RELAYED_VERSION_PREFIX = "relayed/";
+  private static final int POLL_WAIT_MILLISECONDS =
+      1_000; // A stalled source is detected after 1.3 s.
+  private static final long RESPONSE_TIMEOUT_MILLISECONDS =
+      300; // In addition to the wait; sources are nearby.
   private static final long STORE_WATCH_MILLISECONDS =
-      2_000; // a fleet that starts finds its relays in about one
-  private static final long STORE_PAUSE_MILLISECONDS = 1_500; // an outage is paid for call by call
+      2_000; // A starting fleet discovers its relays in about one second.
+  private static final long STORE_PAUSE_MILLISECONDS =
+      1_500; // Each store call is charged, also during an outage.
 
   private final Vertx vertx;
   private final ObjectSource store;
   private final Supplier<List<Instance>> sources;
-  private final Requests requests;
+  private final RequestSender sender;
   private final Map<ObjectKind, String> lastSource = new HashMap<>();
-  private final Map<ObjectKind, Long> storeAskedAt = new HashMap<>();
+  private final Map<ObjectKind, Long> storeReadAt = new HashMap<>();
 
   /** Sends requests to other instances. */
   @FunctionalInterface
-  interface Requests {
+  interface RequestSender {
     CompletableFuture<PeerMessage> send(
         Instance instance, PeerMessage request, long limitMilliseconds);
   }
@@ -60,14 +62,14 @@
   /**
    * Creates a source.
    *
-   * @param sources whom to ask instead of the store, best first
+   * @param sources the relay instances to requestObjects instead of the store, best first
    */
   RelayedObjectSource(
-      Vertx vertx, ObjectSource store, Supplier<List<Instance>> sources, Requests requests) {
+      Vertx vertx, ObjectSource store, Supplier<List<Instance>> sources, RequestSender sender) {
     this.vertx = vertx;
     this.store = store;
     this.sources = sources;
-    this.requests = requests;
+    this.sender = sender;
   }
 
   @Override
@@ -84,11 +86,11 @@
       return;
     }
     Instance source = from.get(index);
-    ask(source, kind, "", 0)
+    requestObjects(source, kind, "", 0)
         .whenComplete(
             (answer, failure) -> {
               if (failure == null && answer.whole()) {
-                noteSource(kind, source.id());
+                recordSource(kind, source.id());
                 result.complete(
                     new ObjectList(
                         relayedVersion(source, answer), objects(kind, answer.objects())));
@@ -100,8 +102,8 @@
   }
 
   private void listFromStore(
-      ObjectKind kind, boolean sparingly, CompletableFuture<ObjectList> result) {
-    if (sparingly && !mayAskStore(kind)) {
+      ObjectKind kind, boolean rateLimited, CompletableFuture<ObjectList> result) {
+    if (rateLimited && !mayReadStore(kind)) {
       result.completeExceptionally(
           new StoreException(StoreFailure.UNAVAILABLE, "no instance knows the objects"));
       return;
@@ -114,22 +116,22 @@
                 result.completeExceptionally(failure);
                 return;
               }
-              noteSource(kind, "store");
+              recordSource(kind, "store");
               result.complete(list);
             });
   }
 
-  private synchronized boolean mayAskStore(ObjectKind kind) {
+  private synchronized boolean mayReadStore(ObjectKind kind) {
     long now = MonotonicClock.milliseconds();
-    Long before = storeAskedAt.get(kind);
+    Long before = storeReadAt.get(kind);
     if (before != null && now - before < STORE_PAUSE_MILLISECONDS) {
       return false;
     }
-    storeAskedAt.put(kind, now);
+    storeReadAt.put(kind, now);
     return true;
   }
 
-  private synchronized void noteSource(ObjectKind kind, String source) {
+  private synchronized void recordSource(ObjectKind kind, String source) {
     String before = lastSource.put(kind, source);
     if (!source.equals(before)) {
       LOGGER.info("objects kind={} source={} before={}", kind, source, before);
@@ -138,22 +140,22 @@
 
   @Override
   public AutoCloseable watch(ObjectKind kind, String fromVersion, WatchListener listener) {
-    if (!fromVersion.startsWith(RELAYED)) {
+    if (!fromVersion.startsWith(RELAYED_VERSION_PREFIX)) {
       return new StoreWatch(kind, fromVersion, listener);
     }
-    String[] parts = fromVersion.substring(RELAYED.length()).split("/", 2);
+    String[] parts = fromVersion.substring(RELAYED_VERSION_PREFIX.length()).split("/", 2);
     RelayWatch watch = new RelayWatch(kind, parts[0], listener);
     watch.poll(parts[1]);
     return watch;
   }
 
-  private CompletableFuture<PeerMessage.ObjectsAnswer> ask(
+  private CompletableFuture<PeerMessage.ObjectsAnswer> requestObjects(
       Instance source, ObjectKind kind, String fromVersion, int wait) {
-    return requests
+    return sender
         .send(
             source,
             new PeerMessage.ObjectsRequest(kind.plural(), fromVersion, wait),
-            wait + ANSWER_MILLISECONDS)
+            wait + RESPONSE_TIMEOUT_MILLISECONDS)
         .thenApply(
             answer -> {
               if (answer instanceof PeerMessage.ObjectsAnswer objects) {
@@ -164,7 +166,7 @@
   }
 
   private static String relayedVersion(Instance source, PeerMessage.ObjectsAnswer answer) {
-    return RELAYED + source.id() + '/' + answer.version();
+    return RELAYED_VERSION_PREFIX + source.id() + '/' + answer.version();
   }
 
   private static List<StoredObject> objects(ObjectKind kind, List<PeerMessage.ObjectState> states) {
@@ -190,29 +192,29 @@
     return new StoreException(StoreFailure.VERSION_GONE, reason);
   }
 
-  /** A watch of the store that ends once there are other sources again. */
+  /** Watches the store until relay sources are available again. */
   private final class StoreWatch implements AutoCloseable {
     private final AutoCloseable watch;
     private final WatchListener listener;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean closed = new AtomicBoolean();
     private volatile long timer;
 
     StoreWatch(ObjectKind kind, String fromVersion, WatchListener listener) {
       this.listener = listener;
       this.watch = store.watch(kind, fromVersion, listener);
-      check();
+      scheduleCheck();
     }
 
-    private void check() {
-      timer = vertx.setTimer(STORE_WATCH_MILLISECONDS, fired -> checked());
+    private void scheduleCheck() {
+      timer = vertx.setTimer(STORE_WATCH_MILLISECONDS, fired -> checkSources());
     }
 
-    private void checked() {
-      if (over.get()) {
+    private void checkSources() {
+      if (closed.get()) {
         return;
       }
       if (sources.get().isEmpty()) {
-        check();
+        scheduleCheck();
         return;
       }
       close();
@@ -221,7 +223,7 @@
 
     @Override
     public void close() {
-      if (!over.compareAndSet(false, true)) {
+      if (!closed.compareAndSet(false, true)) {
         return;
       }
       vertx.cancelTimer(timer);
@@ -233,12 +235,12 @@
     }
   }
 
-  /** Asks one instance for changes again and again. */
+  /** Polls one relay instance for changes. */
   private final class RelayWatch implements AutoCloseable {
     private final ObjectKind kind;
     private final String sourceId;
     private final WatchListener listener;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean closed = new AtomicBoolean();
 
     RelayWatch(ObjectKind kind, String sourceId, WatchListener listener) {
       this.kind = kind;
@@ -247,7 +249,7 @@
     }
 
     void poll(String version) {
-      if (over.get()) {
+      if (closed.get()) {
         return;
       }
       Optional<Instance> source =
@@ -256,12 +258,12 @@
         end(sourceId + " is no source any more");
         return;
       }
-      ask(source.get(), kind, version, WAIT_MILLISECONDS)
+      requestObjects(source.get(), kind, version, POLL_WAIT_MILLISECONDS)
           .whenComplete((answer, failure) -> answered(source.get(), answer, failure));
     }
 
     private void answered(Instance source, PeerMessage.ObjectsAnswer answer, Throwable failure) {
-      if (over.get()) {
+      if (closed.get()) {
         return;
       }
       if (failure != null || answer.whole()) {
@@ -284,7 +286,7 @@
     }
 
     private void end(String reason) {
-      if (over.compareAndSet(false, true)) {
+      if (closed.compareAndSet(false, true)) {
         LOGGER.info("objects kind={} source={} ended=\"{}\"", kind, sourceId, reason);
         listener.ended(gone(reason));
       }
@@ -292,7 +294,7 @@
 
     @Override
     public void close() {
-      over.set(true);
+      closed.set(true);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -19,99 +19,99 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One sending of a request to one runner, with what it takes from and gives back to the shared
- * tables.
+ * Sends a request to one runner once and records its load, demand and outcome in the shared tables.
  *
- * <p>Invariant: what it counted at its start is taken back once, however it ends. Confined to one
- * event loop.
+ * <p>Invariant: the load and demand counted at the start are released exactly once, however the
+ * attempt ends. Confined to one event loop.
  */
 final class RequestAttempt implements UpstreamCall.Listener {
   private static final Logger LOGGER = LogManager.getLogger(RequestAttempt.class);
 
-  /** Less time is no use to a runner. */
-  static final long SHORTEST_SEND_MILLISECONDS = 20; // two steps of an engine
+  /** Minimum time before the deadline at which a request is still sent to a runner. */
+  static final long MINIMUM_SEND_MILLISECONDS = 20; // Two engine steps.
 
-  private static final long STALL_CHECK_MILLISECONDS = 100; // a fraction of the shortest limit
+  private static final long STALL_CHECK_MILLISECONDS =
+      100; // A fraction of the shortest stall timeout.
 
-  private final ForwardingContext parts;
+  private final ForwardingContext context;
   private final Route route;
   private final String service;
   private final RequestTerms terms;
   private final long deadline;
   private final ForwardedRequest state;
   private final Consumer<List<RequestAction>> followUp;
-  private final int number;
+  private final int attemptNumber;
   private final RunnerEntry runner;
   private final UpstreamCall call;
   private final long sentAt = MonotonicClock.milliseconds();
   private final int newTokens;
   private final double tokensAhead;
   private UpstreamResponse head;
-  private UpstreamResponse answer;
+  private UpstreamResponse completeResponse;
   private byte[] event;
   private long lastActivity = sentAt;
   private boolean began;
   private boolean released;
   private long stallTimer = -1;
 
-  /** What the attempt is for. Immutable. */
-  record Purpose(Route route, String service, RequestTerms terms, long deadline) {}
+  /** The request that an attempt serves. Immutable. */
+  record ServedRequest(Route route, String service, RequestTerms terms, long deadline) {}
 
   /**
-   * Creates an attempt; nothing is sent yet.
+   * Creates an attempt without sending anything.
    *
-   * @param state told of what becomes of it
-   * @param followUp carries out what the state then decides
+   * @param state receives the outcome of the attempt
+   * @param followUp executes the actions that the state decides on
    */
   RequestAttempt(
-      ForwardingContext parts,
-      Purpose purpose,
+      ForwardingContext context,
+      ServedRequest purpose,
       ForwardedRequest state,
       Consumer<List<RequestAction>> followUp,
-      int number,
+      int attemptNumber,
       RunnerEntry runner) {
-    this.parts = parts;
+    this.context = context;
     this.route = purpose.route();
     this.service = purpose.service();
     this.terms = purpose.terms();
     this.deadline = purpose.deadline();
     this.state = state;
     this.followUp = followUp;
-    this.number = number;
+    this.attemptNumber = attemptNumber;
     this.runner = runner;
     this.call =
         new UpstreamCall(
-            parts.vertx(),
-            parts.delay(),
-            parts.answerMemory().share(),
-            parts.dialect().runners(),
+            context.vertx(),
+            context.delay(),
+            context.responseMemory().share(),
+            context.dialect().runners(),
             terms.id(),
             this);
     this.newTokens =
-        terms.prompt().map(prompt -> parts.loads().newTokens(runner.id(), prompt)).orElse(0);
-    this.tokensAhead = parts.loads().total(runner.id(), sentAt).unreadTokens() + newTokens;
+        terms.prompt().map(prompt -> context.loads().newTokens(runner.id(), prompt)).orElse(0);
+    this.tokensAhead = context.loads().total(runner.id(), sentAt).unreadTokens() + newTokens;
   }
 
   void start(HttpServerRequest request, Supplier<MultiMap> headers, Buffer content) {
-    parts.loads().sent(runner.id(), newTokens);
-    terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), 1));
-    watchForSilence();
-    call.start(parts.client(), runner, request.method(), request.uri(), headers, content);
+    context.loads().sent(runner.id(), newTokens);
+    terms.prompt().ifPresent(prompt -> context.demand().running(service, prompt, runner.id(), 1));
+    scheduleStallCheck();
+    call.start(context.client(), runner, request.method(), request.uri(), headers, content);
   }
 
-  /** Returns the head of the stream that has begun. */
+  /** Returns the head of the stream in progress. */
   UpstreamResponse streamHead() {
     return head;
   }
 
-  /** Returns the event that came last. */
+  /** Returns the most recent event. */
   byte[] lastEvent() {
     return event;
   }
 
-  /** Returns the whole answer, or the head of a stream that has ended. */
-  UpstreamResponse answer() {
-    return answer;
+  /** Returns the complete response, or the head of a completed stream. */
+  UpstreamResponse response() {
+    return completeResponse;
   }
 
   void cancel() {
@@ -120,9 +120,9 @@
   }
 
   @Override
-  public boolean isWanted() {
+  public boolean shouldSend() {
     long left = deadline - MonotonicClock.milliseconds();
-    return left >= SHORTEST_SEND_MILLISECONDS && parts.selector().isUsable(runner);
+    return left >= MINIMUM_SEND_MILLISECONDS && context.selector().isUsable(runner);
   }
 
   @Override
@@ -131,103 +131,107 @@
     LOGGER.info(
         "request={} attempt={} runner={} withdrawn=true left_ms={}",
         terms.id(),
-        number,
+        attemptNumber,
         runner.id(),
         deadline - MonotonicClock.milliseconds());
-    followUp.accept(state.unreached(number));
+    followUp.accept(state.unreached(attemptNumber));
   }
 
   @Override
-  public void unreached(String cause) {
+  public void connectFailed(String cause) {
     release();
-    parts.selector().unreachable(runner.id());
+    context.selector().unreachable(runner.id());
     LOGGER.info(
-        "request={} attempt={} runner={} unreached=\"{}\"", terms.id(), number, runner.id(), cause);
-    followUp.accept(state.unreached(number));
+        "request={} attempt={} runner={} unreached=\"{}\"",
+        terms.id(),
+        attemptNumber,
+        runner.id(),
+        cause);
+    followUp.accept(state.unreached(attemptNumber));
   }
 
   @Override
   public void headReceived(UpstreamResponse received) {
-    RunnerDialect dialect = parts.dialect().runners();
+    RunnerDialect dialect = context.dialect().runners();
     if (dialect.isLeaving(received.headers())) {
-      parts.notices().leavingReported(runner);
+      context.availability().leavingReported(runner);
     }
     dialect
         .backoffMilliseconds(received.status(), received.headers())
-        .ifPresent(quiet -> parts.notices().backoffRequested(runner, quiet));
+        .ifPresent(quiet -> context.availability().backoffRequested(runner, quiet));
   }
 
   @Override
   public void rejected(ResponseKind kind, UpstreamResponse rejection) {
     release();
-    doubtPresence(kind);
+    markMissing(kind);
     LOGGER.info(
         "request={} attempt={} runner={} rejected={} status={}",
         terms.id(),
-        number,
+        attemptNumber,
         runner.id(),
         kind,
         rejection.status());
-    followUp.accept(state.rejected(number));
+    followUp.accept(state.rejected(attemptNumber));
   }
 
   @Override
   public void failed(String cause, Optional<UpstreamResponse> failure) {
     release();
-    parts.selector().failed(runner.id());
+    context.selector().failed(runner.id());
     LOGGER.info(
         "request={} attempt={} runner={} failed=\"{}\" began={}",
         terms.id(),
-        number,
+        attemptNumber,
         runner.id(),
         cause,
         began);
-    failure.ifPresent(whole -> answer = whole);
-    followUp.accept(state.failed(number, failure.isPresent()));
+    failure.ifPresent(response -> completeResponse = response);
+    followUp.accept(state.failed(attemptNumber, failure.isPresent()));
   }
 
   @Override
-  public void answered(UpstreamResponse whole) {
-    begin();
+  public void responseReceived(UpstreamResponse response) {
+    markStarted();
     release();
-    parts.selector().succeeded(runner.id());
-    answer = whole;
-    followUp.accept(state.answered(number));
+    context.selector().succeeded(runner.id());
+    completeResponse = response;
+    followUp.accept(state.answered(attemptNumber));
   }
 
   @Override
-  public void event(UpstreamResponse streamHead, EventStreamSplitter.Event next) {
+  public void eventReceived(UpstreamResponse streamHead, EventStreamSplitter.Event next) {
     if (!next.empty()) {
       lastActivity = MonotonicClock.milliseconds();
-      parts.selector().heard(runner.id(), lastActivity);
-      begin();
+      context.selector().dataReceived(runner.id(), lastActivity);
+      markStarted();
     }
     head = streamHead;
     event = next.bytes();
-    followUp.accept(state.event(number, next.id()));
+    followUp.accept(state.event(attemptNumber, next.id()));
   }
 
   @Override
-  public void ended(UpstreamResponse streamHead) {
+  public void streamEnded(UpstreamResponse streamHead) {
     release();
-    parts.selector().succeeded(runner.id());
-    answer = streamHead;
-    followUp.accept(state.ended(number));
+    context.selector().succeeded(runner.id());
+    completeResponse = streamHead;
+    followUp.accept(state.ended(attemptNumber));
   }
 
-  private void begin() {
+  private void markStarted() {
     if (began) {
       return;
     }
     began = true;
     long milliseconds = MonotonicClock.milliseconds() - sentAt;
-    parts.loads().read(runner.id(), newTokens);
-    parts.selector().began(runner.id(), milliseconds);
+    context.loads().read(runner.id(), newTokens);
+    context.selector().responseStarted(runner.id(), milliseconds);
     if (terms.prompt().isPresent()) {
-      parts.loads().measuredReading(runner.id(), tokensAhead, milliseconds);
-      parts.loads().keptParts(runner.id(), terms.prompt().get());
+      context.loads().measuredReading(runner.id(), tokensAhead, milliseconds);
+      context.loads().keptParts(runner.id(), terms.prompt().get());
     } else {
-      parts.loads().measuredRequest(runner.id(), milliseconds);
+      context.loads().measuredRequest(runner.id(), milliseconds);
     }
   }
 
@@ -236,34 +240,39 @@
       return;
     }
     released = true;
-    parts.vertx().cancelTimer(stallTimer);
+    context.vertx().cancelTimer(stallTimer);
     if (!began) {
-      parts.loads().read(runner.id(), newTokens);
+      context.loads().read(runner.id(), newTokens);
     }
-    parts.loads().ended(runner.id());
-    terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), -1));
+    context.loads().ended(runner.id());
+    terms.prompt().ifPresent(prompt -> context.demand().running(service, prompt, runner.id(), -1));
   }
 
-  /** A runner also turns requests away for a model that it is loading or dropping. */
-  private void doubtPresence(ResponseKind kind) {
+  /**
+   * Marks the model or adapter as possibly absent. Runners also reject requests for models that
+   * they are loading or unloading.
+   */
+  private void markMissing(ResponseKind kind) {
     terms
         .prompt()
         .ifPresent(
             prompt -> {
               if (kind == ResponseKind.MISDIRECTED && prompt.adapter().isPresent()) {
-                parts.presence().denyAdapter(runner.id(), prompt.model(), prompt.adapter().get());
+                context
+                    .presence()
+                    .markAdapterMissing(runner.id(), prompt.model(), prompt.adapter().get());
               } else {
-                parts
+                context
                     .presence()
-                    .denyModel(runner.id(), prompt.model(), MonotonicClock.milliseconds());
+                    .markModelMissing(runner.id(), prompt.model(), MonotonicClock.milliseconds());
               }
             });
   }
 
-  private void watchForSilence() {
+  private void scheduleStallCheck() {
     long due = lastActivity + stallLimit() - MonotonicClock.milliseconds();
     stallTimer =
-        parts
+        context
             .vertx()
             .setTimer(
                 Math.max(STALL_CHECK_MILLISECONDS, due),
@@ -273,7 +282,7 @@
                   }
                   long silent = MonotonicClock.milliseconds() - lastActivity;
                   if (silent < stallLimit()) {
-                    watchForSilence();
+                    scheduleStallCheck();
                     return;
                   }
                   stalled(silent);
@@ -281,20 +290,20 @@
   }
 
   private long stallLimit() {
-    long runnerSilent = parts.selector().silentMilliseconds(runner.id());
+    long runnerSilent = context.selector().silentMilliseconds(runner.id());
     return StallTimeouts.milliseconds(route, began, deadline - lastActivity, runnerSilent);
   }
 
   private void stalled(long silent) {
-    List<RequestAction> actions = state.stalled(number);
+    List<RequestAction> actions = state.stalled(attemptNumber);
     if (actions.isEmpty()) {
       return;
     }
-    parts.selector().failed(runner.id());
+    context.selector().failed(runner.id());
     LOGGER.info(
         "request={} attempt={} runner={} silent_ms={} began={}",
         terms.id(),
-        number,
+        attemptNumber,
         runner.id(),
         silent,
         began);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
@@ -25,22 +25,27 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Carries out what a {@link ForwardedRequest} decides for one request of a caller.
+ * Executes the actions that a {@link ForwardedRequest} decides on for one request of a caller:
+ * selects a runner, sends, cancels and responds.
  *
  * <p>Confined to one event loop.
  */
 final class RequestExchange implements WaitingRequests.Waiting {
   private static final Logger LOGGER = LogManager.getLogger(RequestExchange.class);
-  private static final long ANSWER_MARGIN_MILLISECONDS = 15; // the way back to the caller
-  private static final long PLANNING_MILLISECONDS = 1_500; // a report, a plan and a load from disk
+  private static final long RESPONSE_MARGIN_MILLISECONDS =
+      15; // Transfer time of the response to the caller.
+  private static final long PLANNING_MILLISECONDS =
+      1_500; // Covers a demand report, a planning run and a load from disk.
   private static final long FIRST_EVENT_MILLISECONDS = 250;
-  private static final long ADAPTER_PAUSE_MILLISECONDS = 80; // several loads of an adapter
-  private static final long LONGEST_QUOTA_MILLISECONDS = 1_500; // most failures of a holder end
-  private static final double QUOTA_SHARE = 0.4; // the rest is for the answer
-  private static final int MOST_URGENT = 0;
-  private static final int LEAST_URGENT = 9;
-
-  private final ForwardingContext parts;
+  private static final long ADAPTER_RETRY_MILLISECONDS = 80; // Covers several adapter loads.
+  private static final long MAXIMUM_QUOTA_WAIT_MILLISECONDS =
+      1_500; // Most holder failures are resolved within this time.
+  private static final double QUOTA_TIME_SHARE =
+      0.4; // The rest of the time is left for the response.
+  private static final int HIGHEST_PRIORITY = 0;
+  private static final int LOWEST_PRIORITY = 9;
+
+  private final ForwardingContext context;
   private final HttpServerRequest request;
   private final CallerResponse response;
   private final Route route;
@@ -49,7 +54,7 @@
   private final Buffer content;
   private final long arrivedAt;
   private final long deadline;
-  private final long beginBy;
+  private final long startBy;
   private final ForwardingTable table;
   private final Optional<ClientAccount> account;
   private final ForwardedRequest state;
@@ -58,29 +63,29 @@
   private RunnerEntry chosenRunner;
   private boolean waiting;
   private long deadlineTimer = -1;
-  private long usefulIn;
+  private long retryAfter;
   private boolean quotaTaken;
   private int sends;
   private long firstEventAt = -1;
 
   /**
-   * What is known of a request that may be passed on. Immutable.
+   * The inputs of a request that has been admitted. Immutable.
    *
-   * @param account the client account that it belongs to; empty where none is needed
+   * @param account the client account that the request belongs to; empty if the route needs none
    */
-  record Admitted(
+  record AdmittedRequest(
       ForwardingTable table, Route route, Optional<ClientAccount> account, RequestTerms terms) {}
 
   RequestExchange(
-      ForwardingContext parts,
+      ForwardingContext context,
       HttpServerRequest request,
-      Admitted admitted,
+      AdmittedRequest admitted,
       Buffer content,
       long arrivedAt,
       double draw) {
-    this.parts = parts;
+    this.context = context;
     this.request = request;
-    this.response = new CallerResponse(request, parts.headers(), parts.leaving());
+    this.response = new CallerResponse(request, context.headers(), context.leaving());
     this.table = admitted.table();
     this.route = admitted.route();
     this.account = admitted.account();
@@ -92,74 +97,77 @@
         Math.min(
             route.timeoutMilliseconds(),
             terms.deadlineMilliseconds().orElse(route.timeoutMilliseconds()));
-    this.deadline = arrivedAt + Math.max(1, allowed - ANSWER_MARGIN_MILLISECONDS);
-    this.beginBy = Math.min(deadline, arrivedAt + ResponseStartTimeout.milliseconds(route));
+    this.deadline = arrivedAt + Math.max(1, allowed - RESPONSE_MARGIN_MILLISECONDS);
+    this.startBy = Math.min(deadline, arrivedAt + ResponseStartTimeout.milliseconds(route));
     this.state =
         new ForwardedRequest(
             route.repetition(),
             route.maximumAttempts(),
             terms.lastEventId(),
-            () -> parts.budgets().tryTake(service));
+            () -> context.budgets().tryTake(service));
   }
 
-  /** Refuses the request if nothing was sent yet, since this instance ends soon. */
+  /** Refuses the request with {@code SHUTTING_DOWN} if nothing has been sent yet. */
   void refuseUnsent() {
     stopWaiting();
     perform(state.notChosen(RefusalReason.SHUTTING_DOWN));
   }
 
-  /** Answers the request now, since this instance ends. */
-  void giveUp() {
+  /** Ends the request as if its deadline had expired, because this instance is terminating. */
+  void expire() {
     perform(state.expired());
   }
 
   void start() {
-    parts.exchanges().add(this);
+    context.exchanges().add(this);
     request.response().closeHandler(closed -> perform(state.callerGone()));
     request.response().exceptionHandler(cause -> perform(state.callerGone()));
     deadlineTimer =
-        parts
+        context
             .vertx()
             .setTimer(
                 Math.max(1, deadline - MonotonicClock.milliseconds()),
                 fired -> perform(state.expired()));
-    parts.budgets().requested(service);
+    context.budgets().requested(service);
     Optional<TokenQuota> quota = account.flatMap(ClientAccount::quota);
     if (quota.isEmpty()) {
-      begin();
+      startForwarding();
       return;
     }
-    long patience =
-        Math.min(LONGEST_QUOTA_MILLISECONDS, (long) (QUOTA_SHARE * (beginBy - arrivedAt)));
-    parts.quotas().decide(account.get(), quota.get().cost(terms), patience, this::quotaDecided);
+    long quotaTimeout =
+        Math.min(
+            MAXIMUM_QUOTA_WAIT_MILLISECONDS, (long) (QUOTA_TIME_SHARE * (startBy - arrivedAt)));
+    context
+        .quotas()
+        .decide(account.get(), quota.get().cost(terms), quotaTimeout, this::quotaDecided);
   }
 
   private void quotaDecided(QuotaPolicy.Decision decision) {
     if (state.isOver()) {
       if (decision instanceof QuotaPolicy.Decision.Granted) {
-        giveQuotaBack();
+        refundQuota();
       }
       return;
     }
     if (decision instanceof QuotaPolicy.Decision.Granted) {
       quotaTaken = true;
-      begin();
+      startForwarding();
     } else if (decision instanceof QuotaPolicy.Decision.Exhausted exhausted) {
-      usefulIn = exhausted.waitMilliseconds();
+      retryAfter = exhausted.waitMilliseconds();
       perform(state.notChosen(RefusalReason.OVER_QUOTA));
     } else {
       perform(state.notChosen(RefusalReason.QUOTA_UNKNOWN));
     }
   }
 
-  private void giveQuotaBack() {
+  private void refundQuota() {
     account
         .flatMap(ClientAccount::quota)
-        .ifPresent(quota -> parts.quotas().giveBack(account.get(), quota.cost(terms)));
+        .ifPresent(quota -> context.quotas().refund(account.get(), quota.cost(terms)));
   }
 
-  private void begin() {
-    terms.prompt().ifPresent(prompt -> parts.demand().arrived(service, prompt, priority()));
+  private void startForwarding() {
+    terms.prompt().ifPresent(prompt -> context.demand().arrived(service, prompt, priority()));
     perform(state.start());
   }
 
@@ -178,10 +186,10 @@
   }
 
   @Override
-  public void tryAgain() {
+  public void retry() {
     stopWaiting();
     if (!state.isOver()) {
-      choose();
+      selectRunner();
     }
   }
 
@@ -194,7 +202,7 @@
   private void perform(RequestAction action) {
     if (action instanceof RequestAction.Choose wanted) {
       excluded = wanted.excluded();
-      choose();
+      selectRunner();
     } else if (action instanceof RequestAction.Send send) {
       send(send);
     } else if (action instanceof RequestAction.Cancel) {
@@ -204,21 +212,21 @@
       response.beginStream(attempt.streamHead(), attempt.lastEvent());
     } else if (action instanceof RequestAction.ContinueStream) {
       response.continueStream(attempt.lastEvent());
-    } else if (action instanceof RequestAction.Final last) {
-      finish(last);
+    } else if (action instanceof RequestAction.Final finalAction) {
+      finish(finalAction);
     }
   }
 
-  private void choose() {
+  private void selectRunner() {
     long now = MonotonicClock.milliseconds();
     RunnerSelector.Selection selection =
-        parts.selector().select(service, terms.prompt(), excluded, now);
+        context.selector().select(service, terms.prompt(), excluded, now);
     if (selection instanceof RunnerSelector.Selection.Found found) {
       sendOrWait(found, now);
     } else if (selection instanceof RunnerSelector.Selection.NoRunner) {
       refuseOrWait(RefusalReason.NO_RUNNER);
-    } else if (selection instanceof RunnerSelector.Selection.AllBackingOff quiet) {
-      waitForQuiet(quiet.untilMilliseconds(), now);
+    } else if (selection instanceof RunnerSelector.Selection.AllBackingOff backingOff) {
+      waitForBackoff(backingOff.untilMilliseconds(), now);
     } else if (selection instanceof RunnerSelector.Selection.ModelAbsent) {
       waitForModel(now);
     } else {
@@ -227,28 +235,31 @@
     }
   }
 
-  /** Waits for a runner that wants no requests for a while, if it takes them again in time. */
-  private void waitForQuiet(long until, long now) {
-    if (until + FIRST_EVENT_MILLISECONDS <= beginBy) {
+  /** Queues the request if a runner accepts requests again early enough; otherwise refuses it. */
+  private void waitForBackoff(long until, long now) {
+    if (until + FIRST_EVENT_MILLISECONDS <= startBy) {
       startWaiting();
       return;
     }
-    usefulIn = Math.max(0, until - now);
+    retryAfter = Math.max(0, until - now);
     perform(state.notChosen(RefusalReason.OVERLOADED));
   }
 
-  /** Waits only for a model that will be there in time, or whose load may still be planned. */
+  /**
+   * Queues the request if its model is expected to be loaded in time, or if its load may still be
+   * planned; otherwise refuses it.
+   */
   private void waitForModel(long now) {
     String model = terms.prompt().orElseThrow().model();
-    OptionalLong expectedAt = parts.presence().expectedAt(model, now);
+    OptionalLong expectedAt = context.presence().expectedAt(model, now);
     long readyAt = expectedAt.orElse(arrivedAt + PLANNING_MILLISECONDS);
-    boolean inTime = readyAt + FIRST_EVENT_MILLISECONDS <= beginBy && readyAt > now;
+    boolean inTime = readyAt + FIRST_EVENT_MILLISECONDS <= startBy && readyAt > now;
     boolean overdue = expectedAt.isPresent() && readyAt <= now;
     if (inTime || overdue) {
       startWaiting();
       return;
     }
-    usefulIn = Math.max(0, readyAt - now);
+    retryAfter = Math.max(0, readyAt - now);
     perform(state.notChosen(RefusalReason.MODEL_ABSENT));
   }
 
@@ -256,16 +267,16 @@
     SendPolicy.Decision decision =
         terms.prompt().isEmpty()
             ? SendPolicy.Decision.SEND
-            : parts
+            : context
                 .sending()
                 .decide(
                     found.candidate(),
                     new SendPolicy.Timing(
                         route.objectiveMilliseconds(),
                         Math.max(0, arrivedAt + route.objectiveMilliseconds() - now),
-                        beginBy - now));
+                        startBy - now));
     switch (decision) {
-      case SEND -> take(found.runner(), now);
+      case SEND -> sendWithAdapter(found.runner(), now);
       case WAIT -> startWaiting();
       case REFUSE -> perform(state.notChosen(RefusalReason.OVERLOADED));
       default -> throw new IllegalStateException("unknown decision " + decision);
@@ -274,7 +285,7 @@
 
   private void refuseOrWait(RefusalReason reason) {
     boolean servesModels =
-        parts
+        context
             .table()
             .get()
             .flatMap(table -> table.service(service))
@@ -289,31 +300,31 @@
 
   private void startWaiting() {
     waiting = true;
-    terms.prompt().ifPresent(prompt -> parts.demand().waiting(service, prompt, 1));
-    parts.waiting().add(this);
+    terms.prompt().ifPresent(prompt -> context.demand().waiting(service, prompt, 1));
+    context.waiting().add(this);
   }
 
   private void stopWaiting() {
     if (waiting) {
       waiting = false;
-      terms.prompt().ifPresent(prompt -> parts.demand().waiting(service, prompt, -1));
-      parts.waiting().remove(this);
+      terms.prompt().ifPresent(prompt -> context.demand().waiting(service, prompt, -1));
+      context.waiting().remove(this);
     }
   }
 
-  /** Sends to a runner, once it has the adapter that is needed. */
-  private void take(RunnerEntry runner, long now) {
+  /** Sends to the runner after making sure that it has the required adapter. */
+  private void sendWithAdapter(RunnerEntry runner, long now) {
     Optional<String> adapter = terms.prompt().flatMap(PromptTerms::adapter);
     if (adapter.isEmpty()) {
       sendTo(runner);
       return;
     }
     String model = terms.prompt().orElseThrow().model();
-    if (parts.presence().hasAdapter(runner.id(), model, adapter.get(), now)) {
+    if (context.presence().hasAdapter(runner.id(), model, adapter.get(), now)) {
       sendTo(runner);
       return;
     }
-    parts
+    context
         .adapters()
         .ensure(runner.id(), model, adapter.get())
         .thenAccept(present -> adapterEnsured(runner, model, adapter.get(), present));
@@ -324,24 +335,24 @@
       return;
     }
     if (present) {
-      parts.presence().confirmAdapter(runner.id(), model, adapter, MonotonicClock.milliseconds());
+      context.presence().confirmAdapter(runner.id(), model, adapter, MonotonicClock.milliseconds());
       sendTo(runner);
       return;
     }
     LOGGER.debug("request={} runner={} adapter={} absent", terms.id(), runner.id(), adapter);
-    parts.vertx().setTimer(ADAPTER_PAUSE_MILLISECONDS, fired -> tryAgain());
+    context.vertx().setTimer(ADAPTER_RETRY_MILLISECONDS, fired -> retry());
   }
 
   private void sendTo(RunnerEntry runner) {
-    if (!keyHolds()) {
+    if (!isKeyValid()) {
       perform(state.notChosen(RefusalReason.UNKNOWN_KEY));
       return;
     }
-    if (!parts.selector().isUsable(runner)) {
-      startWaiting(); // the runner began to leave while its adapter was loaded
+    if (!context.selector().isUsable(runner)) {
+      startWaiting(); // The runner may have started to leave while its adapter was being loaded.
       return;
     }
-    if (deadline - MonotonicClock.milliseconds() < RequestAttempt.SHORTEST_SEND_MILLISECONDS) {
+    if (deadline - MonotonicClock.milliseconds() < RequestAttempt.MINIMUM_SEND_MILLISECONDS) {
       perform(state.notChosen(RefusalReason.DEADLINE));
       return;
     }
@@ -349,9 +360,12 @@
     perform(state.chosen(runner.id()));
   }
 
-  /** Returns whether the key that let the request in has not been taken away meanwhile. */
-  private boolean keyHolds() {
-    ForwardingTable current = parts.table().get().orElse(table);
+  /**
+   * Returns whether the API key that admitted the request is still valid in the current
+   * configuration.
+   */
+  private boolean isKeyValid() {
+    ForwardingTable current = context.table().get().orElse(table);
     boolean needed = current.accounts().requiresKeys() && !route.open();
     if (current == table || account.isEmpty() || !needed) {
       return true;
@@ -361,11 +375,11 @@
 
   private void send(RequestAction.Send send) {
     sends++;
-    parts.metrics().sent(sends > 1);
+    context.metrics().sent(sends > 1);
     attempt =
         new RequestAttempt(
-            parts,
-            new RequestAttempt.Purpose(route, service, terms, deadline),
+            context,
+            new RequestAttempt.ServedRequest(route, service, terms, deadline),
             state,
             this::perform,
             send.attempt(),
@@ -382,25 +396,25 @@
             terms.prompt().map(prompt -> enginePriority()),
             account.map(ClientAccount::name),
             send.resumeAfter());
-    MultiMap headers = parts.headers().forRunner(request.headers());
+    MultiMap headers = context.headers().forRunner(request.headers());
     if (table.accounts().requiresKeys()) {
-      headers.remove(parts.dialect().callers().keyHeader());
+      headers.remove(context.dialect().callers().keyHeader());
     }
-    parts.dialect().runners().writeTerms(sendTerms, headers);
+    context.dialect().runners().writeTerms(sendTerms, headers);
     return headers;
   }
 
   private int enginePriority() {
-    return Math.max(MOST_URGENT, Math.min(LEAST_URGENT, priority()));
+    return Math.max(HIGHEST_PRIORITY, Math.min(LOWEST_PRIORITY, priority()));
   }
 
-  private void finish(RequestAction.Final last) {
-    parts.vertx().cancelTimer(deadlineTimer);
-    parts.exchanges().remove(this);
+  private void finish(RequestAction.Final finalAction) {
+    context.vertx().cancelTimer(deadlineTimer);
+    context.exchanges().remove(this);
     stopWaiting();
-    String outcome = deliver(last);
+    String outcome = respond(finalAction);
     long elapsed = MonotonicClock.milliseconds() - arrivedAt;
-    parts.metrics().finished(route.kind(), outcome, elapsed);
+    context.metrics().finished(route.kind(), outcome, elapsed);
     LOGGER.info(
         "request={} route={} service={} outcome={} runner={} sends={} first_ms={} total_ms={}"
             + " limit_ms={} model={} adapter={} tokens={} config={} account={}",
@@ -420,25 +434,25 @@
         account.map(ClientAccount::name).orElse(""));
   }
 
-  private String deliver(RequestAction.Final last) {
-    if (last instanceof RequestAction.Deliver) {
-      response.deliver(attempt.answer());
-      return attempt.answer().status() < 300 ? "answered" : "runner_failure";
-    } else if (last instanceof RequestAction.EndStream) {
+  private String respond(RequestAction.Final finalAction) {
+    if (finalAction instanceof RequestAction.Deliver) {
+      response.respond(attempt.response());
+      return attempt.response().status() < 300 ? "answered" : "runner_failure";
+    } else if (finalAction instanceof RequestAction.EndStream) {
       response.endStream();
       return "streamed";
-    } else if (last instanceof RequestAction.AbortStream) {
+    } else if (finalAction instanceof RequestAction.AbortStream) {
       response.abort();
       return "stream_aborted";
-    } else if (last instanceof RequestAction.Refuse refusal) {
-      parts.metrics().refused(refusal.reason().name());
+    } else if (finalAction instanceof RequestAction.Refuse refusal) {
+      context.metrics().refused(refusal.reason().name());
       if (quotaTaken) {
-        giveQuotaBack();
+        refundQuota();
       }
-      long returnIn = ReturnAdvice.milliseconds(refusal.reason(), usefulIn);
+      long returnIn = ReturnAdvice.milliseconds(refusal.reason(), retryAfter);
       response.refuse(refusal.reason(), CallerResponse.spread(returnIn));
       return "refused_" + refusal.reason();
-    } else if (last instanceof RequestAction.Fail failure) {
+    } else if (finalAction instanceof RequestAction.Fail failure) {
       response.fail(failure.reason());
       return "failed_" + failure.reason();
     }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -10,87 +10,87 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What runners say of themselves in their answers: that they leave, or want no requests for a
- * while.
+ * Tracks which runners have announced in their responses that they are leaving or asked for a
+ * backoff.
  *
- * <p>Invariants: a runner that said so to this instance gets nothing more from it, for as long as
- * it lives, or until its time is over; another life of the same identifier is another runner. What
- * was said here first is told to the other instances, and what they tell is taken in. Confined to
- * one event loop.
+ * <p>Invariants: this instance sends nothing to a leaving runner until its process ends, and
+ * nothing to a runner in backoff until the backoff ends; another process under the same identifier
+ * is another runner. New announcements are broadcast to the other instances, and theirs are applied
+ * here. Confined to one event loop.
  */
 final class RunnerAvailability {
   private static final Logger LOGGER = LogManager.getLogger(RunnerAvailability.class);
 
   private final Consumer<PeerMessage> broadcast;
   private final Map<String, Leaving> leaving = new HashMap<>();
-  private final Map<String, Quiet> quiet = new HashMap<>();
+  private final Map<String, Backoff> backoffs = new HashMap<>();
 
   private record Leaving(long bornMilliseconds, long sinceMilliseconds) {}
 
-  private record Quiet(long bornMilliseconds, long untilMilliseconds) {}
+  private record Backoff(long bornMilliseconds, long untilMilliseconds) {}
 
-  /** Creates notices that tells new ones by {@code broadcast}. */
+  /** Creates a tracker that passes new announcements to {@code broadcast}. */
   RunnerAvailability(Consumer<PeerMessage> broadcast) {
     this.broadcast = broadcast;
   }
 
-  /** A runner said in an answer that it leaves. */
+  /** Records a response in which a runner announced that it is leaving. */
   void leavingReported(RunnerEntry runner) {
     if (isLeaving(runner)) {
       return;
     }
-    leave(runner.id(), runner.bornMilliseconds(), MonotonicClock.milliseconds());
+    recordLeaving(runner.id(), runner.bornMilliseconds(), MonotonicClock.milliseconds());
     broadcast.accept(
         new PeerMessage.RunnerNotice(
             runner.id(), runner.bornMilliseconds(), OptionalLong.of(0), 0));
   }
 
-  /** A runner turned a request away and wants no more for a while. */
+  /** Records a response in which a runner rejected a request and asked for a backoff. */
   void backoffRequested(RunnerEntry runner, long milliseconds) {
     long now = MonotonicClock.milliseconds();
-    boolean known = backoffUntil(runner, now) > now;
-    rest(runner.id(), runner.bornMilliseconds(), now + milliseconds);
-    if (!known) {
+    boolean previous = backoffUntil(runner, now) > now;
+    recordBackoff(runner.id(), runner.bornMilliseconds(), now + milliseconds);
+    if (!previous) {
       broadcast.accept(
           new PeerMessage.RunnerNotice(
               runner.id(), runner.bornMilliseconds(), OptionalLong.empty(), milliseconds));
     }
   }
 
-  /** Another instance tells what a runner said to it. */
-  void heard(PeerMessage.RunnerNotice notice, long now) {
+  /** Applies a notice from another instance. */
+  void noticeReceived(PeerMessage.RunnerNotice notice, long now) {
     notice
         .leavingAgeMilliseconds()
-        .ifPresent(age -> leave(notice.runner(), notice.bornMilliseconds(), now - age));
+        .ifPresent(age -> recordLeaving(notice.runner(), notice.bornMilliseconds(), now - age));
     if (notice.quietMilliseconds() > 0) {
-      rest(notice.runner(), notice.bornMilliseconds(), now + notice.quietMilliseconds());
+      recordBackoff(notice.runner(), notice.bornMilliseconds(), now + notice.quietMilliseconds());
     }
   }
 
   boolean isLeaving(RunnerEntry runner) {
-    Leaving known = leaving.get(runner.id());
-    return known != null && known.bornMilliseconds() == runner.bornMilliseconds();
+    Leaving previous = leaving.get(runner.id());
+    return previous != null && previous.bornMilliseconds() == runner.bornMilliseconds();
   }
 
   /**
-   * Returns when a runner takes requests again, in monotonic milliseconds; {@code now} or before if
-   * it does.
+   * Returns when a runner accepts requests again, in monotonic milliseconds; {@code now} or earlier
+   * if it already does.
    */
   long backoffUntil(RunnerEntry runner, long now) {
-    Quiet known = quiet.get(runner.id());
-    boolean current = known != null && known.bornMilliseconds() == runner.bornMilliseconds();
-    return current ? known.untilMilliseconds() : now;
+    Backoff previous = backoffs.get(runner.id());
+    boolean current = previous != null && previous.bornMilliseconds() == runner.bornMilliseconds();
+    return current ? previous.untilMilliseconds() : now;
   }
 
-  /** Forgets a runner that is gone. */
+  /** Removes a runner that no longer exists. */
   void forget(String runner) {
     leaving.remove(runner);
-    quiet.remove(runner);
+    backoffs.remove(runner);
   }
 
-  private void leave(String runner, long born, long since) {
-    Leaving known = leaving.get(runner);
-    if (known != null && known.bornMilliseconds() >= born) {
+  private void recordLeaving(String runner, long born, long since) {
+    Leaving previous = leaving.get(runner);
+    if (previous != null && previous.bornMilliseconds() >= born) {
       return;
     }
     leaving.put(runner, new Leaving(born, since));
@@ -101,14 +101,16 @@
         MonotonicClock.milliseconds() - since);
   }
 
-  private void rest(String runner, long born, long until) {
-    Quiet known = quiet.get(runner);
+  private void recordBackoff(String runner, long born, long until) {
+    Backoff previous = backoffs.get(runner);
     boolean longer =
-        known != null && known.bornMilliseconds() == born && known.untilMilliseconds() >= until;
+        previous != null
+            && previous.bornMilliseconds() == born
+            && previous.untilMilliseconds() >= until;
     if (longer) {
       return;
     }
-    quiet.put(runner, new Quiet(born, until));
+    backoffs.put(runner, new Backoff(born, until));
     LOGGER.info("runner={} says=quiet for_ms={}", runner, until - MonotonicClock.milliseconds());
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -44,7 +44,7 @@
   /** Told of changes on the event loop. */
   interface Listener {
     /** An entry changed or was added. */
-    void runnerChanged(RunnerEntry entry, boolean newLife);
+    void runnerChanged(RunnerEntry entry, boolean newProcess);
 
     /** A runner is gone. */
     void runnerGone(String id);
@@ -75,7 +75,7 @@
   public void changed(StoredObject object) {
     String id = object.key().name();
     lapsedAt.remove(id);
-    learn(id, object.content(), object.resourceVersion());
+    apply(id, object.content(), object.resourceVersion());
   }
 
   @Override
@@ -88,7 +88,10 @@
     }
     if (mayReturn && !entry.draining()) {
       lapsedAt.put(key.name(), now);
-      LOGGER.info("runner={} entry=lapsed store_returned_ms_ago={}", key.name(), ago(now));
+      LOGGER.info(
+          "runner={} entry=lapsed store_returned_ms_ago={}",
+          key.name(),
+          millisecondsSinceStoreReturn(now));
       return;
     }
     remove(key.name(), "deleted");
@@ -108,7 +111,7 @@
   void addFromPeer(String id, JsonNode content, long ageMilliseconds) {
     if (!entries.containsKey(id)) {
       LOGGER.info("runner={} source=peer age_ms={}", id, ageMilliseconds);
-      learn(id, content, "peer");
+      apply(id, content, "peer");
     }
   }
 
@@ -141,7 +144,7 @@
     return MonotonicClock.milliseconds() - confirmedAt;
   }
 
-  private void learn(String id, JsonNode content, String version) {
+  private void apply(String id, JsonNode content, String version) {
     Optional<RunnerEntry> decoded = dialect.decodeRunner(id, content);
     if (decoded.isEmpty()) {
       LOGGER.warn("runner={} version={} entry=unreadable", id, version);
@@ -152,8 +155,8 @@
     RunnerEntry before = entries.put(id, entry);
     usableByService.clear();
     contents.put(id, content);
-    boolean newLife = before == null || before.bornMilliseconds() != entry.bornMilliseconds();
-    boolean newState = newLife || before.draining() != entry.draining();
+    boolean newProcess = before == null || before.bornMilliseconds() != entry.bornMilliseconds();
+    boolean newState = newProcess || before.draining() != entry.draining();
     if (newState) {
       LOGGER.info(
           "runner={} service={} draining={} address={} domain={} version={}",
@@ -164,7 +167,7 @@
           entry.failureDomain(),
           version);
     }
-    listeners.forEach(listener -> listener.runnerChanged(entry, newLife));
+    listeners.forEach(listener -> listener.runnerChanged(entry, newProcess));
   }
 
   private void remove(String id, String cause) {
@@ -177,7 +180,7 @@
     listeners.forEach(listener -> listener.runnerGone(id));
   }
 
-  private long ago(long now) {
+  private long millisecondsSinceStoreReturn(long now) {
     return storeAvailable ? now - storeReturnedAt : -1;
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
@@ -17,116 +17,120 @@
 import org.agatefield.routing.OutlierDetector;
 
 /**
- * Finds the runner for a request from entries, loads, health and presence.
+ * Selects the runner for a request by directory entries, load, health and model presence.
  *
  * <p>Confined to one event loop.
  */
 final class RunnerSelector implements RunnerDirectory.Listener {
-  // Half the drain bound: a runner that came back is tried again soon.
+  // Half the drain limit, so that a recovered runner is soon tried again.
   private static final long EJECTION_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  private final FailureDomain here;
+  private final FailureDomain localDomain;
   private final Map<String, String> regions;
   private final RunnerDirectory directory;
   private final RunnerLoads loads;
   private final ModelPresence presence;
-  private final RunnerAvailability notices;
+  private final RunnerAvailability availability;
   private final RunnerChoice choice;
   private final OutlierDetector outliers = new OutlierDetector(EJECTION_NANOSECONDS);
 
-  private final Map<String, Long> heardAt = new HashMap<>();
+  private final Map<String, Long> lastDataAt = new HashMap<>();
 
-  /** What came of a selection. */
+  /** The result of a selection. */
   sealed interface Selection {
-    /** A runner was found. Immutable. */
+    /** A runner was selected. Immutable. */
     record Found(RunnerEntry runner, RunnerCandidate candidate) implements Selection {}
 
-    /** Only runners that were tried before are left. */
+    /** Only runners that this request has already tried are left. */
     record OnlyTried() implements Selection {}
 
     /**
-     * All runners that could take it want no requests for a while. Immutable.
+     * All suitable runners have asked for a backoff. Immutable.
      *
-     * @param untilMilliseconds when the first takes them again, in monotonic milliseconds
+     * @param untilMilliseconds when the first runner accepts requests again, in monotonic
+     *     milliseconds
      */
     record AllBackingOff(long untilMilliseconds) implements Selection {}
 
-    /** Runners of the service exist, but none has the model. */
+    /** The service has runners, but none has the model. */
     record ModelAbsent() implements Selection {}
 
-    /** No runner of the service takes work. */
+    /** No runner of the service accepts requests. */
     record NoRunner() implements Selection {}
   }
 
   RunnerSelector(
-      FailureDomain here,
+      FailureDomain localDomain,
       Map<String, String> regions,
       RunnerDirectory directory,
       RunnerLoads loads,
       ModelPresence presence,
-      RunnerAvailability notices,
+      RunnerAvailability availability,
       RunnerChoice choice) {
-    this.here = here;
+    this.localDomain = localDomain;
     this.regions = regions;
     this.directory = directory;
     this.loads = loads;
     this.presence = presence;
-    this.notices = notices;
+    this.availability = availability;
     this.choice = choice;
     directory.listen(this);
   }
 
   Selection select(String service, Optional<PromptTerms> prompt, Set<String> tried, long now) {
     List<RunnerEntry> usable =
-        directory.usable(service).stream().filter(entry -> !notices.isLeaving(entry)).toList();
+        directory.usable(service).stream().filter(entry -> !availability.isLeaving(entry)).toList();
     if (usable.isEmpty()) {
       return new Selection.NoRunner();
     }
-    List<RunnerEntry> holding =
+    List<RunnerEntry> withModel =
         usable.stream().filter(entry -> isAble(entry, prompt, now)).toList();
-    if (holding.isEmpty()) {
+    if (withModel.isEmpty()) {
       return new Selection.ModelAbsent();
     }
-    List<RunnerEntry> able =
-        holding.stream().filter(entry -> notices.backoffUntil(entry, now) <= now).toList();
-    if (able.isEmpty()) {
+    List<RunnerEntry> available =
+        withModel.stream().filter(entry -> availability.backoffUntil(entry, now) <= now).toList();
+    if (available.isEmpty()) {
       return new Selection.AllBackingOff(
-          holding.stream().mapToLong(each -> notices.backoffUntil(each, now)).min().orElse(now));
+          withModel.stream()
+              .mapToLong(each -> availability.backoffUntil(each, now))
+              .min()
+              .orElse(now));
     }
-    List<RunnerEntry> healthy = outliers.admitted(able, RunnerEntry::id, System.nanoTime());
-    List<RunnerEntry> fresh = without(healthy, tried);
-    if (fresh.isEmpty()) {
-      fresh = without(able, tried);
+    List<RunnerEntry> healthy = outliers.admitted(available, RunnerEntry::id, System.nanoTime());
+    List<RunnerEntry> untried = without(healthy, tried);
+    if (untried.isEmpty()) {
+      untried = without(available, tried);
     }
-    if (fresh.isEmpty()) {
+    if (untried.isEmpty()) {
       return new Selection.OnlyTried();
     }
-    List<RunnerCandidate> candidates = new ArrayList<>(fresh.size());
-    fresh.forEach(entry -> candidates.add(candidate(entry, prompt, now)));
+    List<RunnerCandidate> candidates = new ArrayList<>(untried.size());
+    untried.forEach(entry -> candidates.add(candidate(entry, prompt, now)));
     RunnerCandidate chosen = choice.choose(candidates).orElseThrow();
     return new Selection.Found(directory.entry(chosen.id()).orElseThrow(), chosen);
   }
 
-  /** Returns whether a runner that was chosen before may still get work. */
+  /** Returns whether a runner that was selected earlier still accepts requests. */
   boolean isUsable(RunnerEntry runner) {
     long now = MonotonicClock.milliseconds();
     return directory
         .entry(runner.id())
         .filter(entry -> !entry.draining())
         .filter(entry -> entry.bornMilliseconds() == runner.bornMilliseconds())
-        .filter(entry -> !notices.isLeaving(entry))
-        .filter(entry -> notices.backoffUntil(entry, now) <= now)
+        .filter(entry -> !availability.isLeaving(entry))
+        .filter(entry -> availability.backoffUntil(entry, now) <= now)
         .isPresent();
   }
 
-  /** A runner sent something. */
-  void heard(String runner, long now) {
-    heardAt.put(runner, now);
+  /** Records that a runner sent data. */
+  void dataReceived(String runner, long now) {
+    lastDataAt.put(runner, now);
   }
 
-  /** Returns how long a runner has sent nothing to this instance. */
+  /** Returns the time since a runner last sent data to this instance. */
   long silentMilliseconds(String runner) {
-    return MonotonicClock.milliseconds() - heardAt.getOrDefault(runner, Long.MIN_VALUE / 2);
+    return MonotonicClock.milliseconds() - lastDataAt.getOrDefault(runner, Long.MIN_VALUE / 2);
   }
 
   void succeeded(String runner) {
@@ -141,14 +145,14 @@
     outliers.unreachable(runner, System.nanoTime());
   }
 
-  void began(String runner, long milliseconds) {
+  void responseStarted(String runner, long milliseconds) {
     outliers.firstPart(runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
   }
 
   @Override
-  public void runnerChanged(RunnerEntry entry, boolean newLife) {
+  public void runnerChanged(RunnerEntry entry, boolean newProcess) {
     presence.entryChanged(entry, MonotonicClock.milliseconds());
-    if (newLife) {
+    if (newProcess) {
       presence.forget(entry.id());
       loads.forgetKeptParts(entry.id());
       outliers.forget(entry.id());
@@ -158,8 +162,8 @@
   @Override
   public void runnerGone(String id) {
     presence.forget(id);
-    notices.forget(id);
-    heardAt.remove(id);
+    availability.forget(id);
+    lastDataAt.remove(id);
     outliers.forget(id);
   }
 
@@ -191,10 +195,10 @@
   }
 
   private Distance distance(String failureDomain) {
-    if (failureDomain.equals(here.name())) {
+    if (failureDomain.equals(localDomain.name())) {
       return Distance.SAME_DOMAIN;
     }
-    boolean sameRegion = here.region().equals(regions.get(failureDomain));
+    boolean sameRegion = localDomain.region().equals(regions.get(failureDomain));
     return sameRegion ? Distance.SAME_REGION : Distance.OTHER_REGION;
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/SnapshotExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/SnapshotExchange.java
@@ -15,16 +15,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Learns configuration and runners from other instances, for when the store is away.
+ * Gets the configuration and the runner entries from other instances while the store is
+ * unavailable.
  *
  * <p>Confined to one event loop.
  */
 final class SnapshotExchange {
   private static final Logger LOGGER = LogManager.getLogger(SnapshotExchange.class);
-  // The own watch usually brings a new version first.
-  private static final long PATIENCE_MILLISECONDS = 400;
+  // The local watch usually delivers a new version first.
+  private static final long REQUEST_DELAY_MILLISECONDS = 400;
   private static final long RETRY_MILLISECONDS = 700;
-  private static final long ANSWER_MILLISECONDS = 3_000; // a large configuration on a slow link
+  private static final long RESPONSE_TIMEOUT_MILLISECONDS =
+      3_000; // Covers a large configuration on a slow link.
   private static final String NAME_FIELD = "name";
   private static final String CONTENT_FIELD = "content";
 
@@ -33,7 +35,7 @@
   private final RunnerDirectory runners;
   private final ObjectMapper mapper = new ObjectMapper();
   private ForwardingPeers peers;
-  private boolean asking;
+  private boolean requestScheduled;
 
   SnapshotExchange(Vertx vertx, ConfigurationTracker configuration, RunnerDirectory runners) {
     this.vertx = vertx;
@@ -41,29 +43,29 @@
     this.runners = runners;
   }
 
-  /** Asks peers until something is known. */
+  /** Requests snapshots from peers until configuration and runners are known. */
   void start(ForwardingPeers known) {
     peers = known;
-    vertx.setTimer(PATIENCE_MILLISECONDS, fired -> askWhileIgnorant());
+    vertx.setTimer(REQUEST_DELAY_MILLISECONDS, fired -> requestWhileIncomplete());
   }
 
-  /** A member has a configuration that may be newer. */
-  void heard(Instance holder, long version) {
-    if (version <= configuration.version() || asking) {
+  /** Handles the announcement of a member's configuration version, which may be newer. */
+  void versionAnnounced(Instance holder, long version) {
+    if (version <= configuration.version() || requestScheduled) {
       return;
     }
-    asking = true;
+    requestScheduled = true;
     vertx.setTimer(
-        PATIENCE_MILLISECONDS,
+        REQUEST_DELAY_MILLISECONDS,
         fired -> {
-          asking = false;
+          requestScheduled = false;
           if (version > configuration.version()) {
-            ask(holder);
+            requestSnapshot(holder);
           }
         });
   }
 
-  /** Answers another instance. */
+  /** Responds to a snapshot request of another instance. */
   PeerMessage.SnapshotAnswer answer(PeerMessage.SnapshotRequest request) {
     Optional<byte[]> newer =
         configuration.version() > request.configurationVersion()
@@ -76,38 +78,40 @@
     return new PeerMessage.SnapshotAnswer(newer, entries, runners.ageMilliseconds());
   }
 
-  private void askWhileIgnorant() {
-    boolean ignorant = configuration.table().isEmpty() || runners.all().isEmpty();
-    if (!ignorant) {
+  private void requestWhileIncomplete() {
+    boolean incomplete = configuration.table().isEmpty() || runners.all().isEmpty();
+    if (!incomplete) {
       return;
     }
     List<Instance> others =
         peers.alive().stream().filter(each -> !each.id().equals(peers.self().id())).toList();
     if (!others.isEmpty()) {
-      ask(others.get(ThreadLocalRandom.current().nextInt(others.size())));
+      requestSnapshot(others.get(ThreadLocalRandom.current().nextInt(others.size())));
     }
-    vertx.setTimer(RETRY_MILLISECONDS, fired -> askWhileIgnorant());
+    vertx.setTimer(RETRY_MILLISECONDS, fired -> requestWhileIncomplete());
   }
 
-  private void ask(Instance holder) {
+  private void requestSnapshot(Instance holder) {
     peers
         .request(
-            holder, new PeerMessage.SnapshotRequest(configuration.version()), ANSWER_MILLISECONDS)
+            holder,
+            new PeerMessage.SnapshotRequest(configuration.version()),
+            RESPONSE_TIMEOUT_MILLISECONDS)
         .whenComplete(
             (answer, failure) -> {
               if (answer instanceof PeerMessage.SnapshotAnswer snapshot) {
-                learn(holder, snapshot);
+                apply(holder, snapshot);
               } else if (failure != null) {
                 LOGGER.info("snapshot peer={} failed=\"{}\"", holder.id(), failure.getMessage());
               }
             });
   }
 
-  private void learn(Instance holder, PeerMessage.SnapshotAnswer snapshot) {
+  private void apply(Instance holder, PeerMessage.SnapshotAnswer snapshot) {
     snapshot
         .configuration()
         .flatMap(CompressedJson::decompress)
-        .ifPresent(content -> configuration.learn(content, holder.id()));
+        .ifPresent(content -> configuration.applyIfNewer(content, holder.id()));
     for (byte[] each : snapshot.runners()) {
       CompressedJson.decompress(each)
           .ifPresent(
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
@@ -20,11 +20,12 @@
 /**
  * One attempt of a request at one runner, on a connection of its own.
  *
- * <p>Invariants: exactly one of {@link Listener#withdrawn}, {@link Listener#unreached}, {@link
- * Listener#rejected}, {@link Listener#failed}, {@link Listener#answered} and {@link Listener#ended}
- * is called, unless the call is cancelled first; nothing is called after that or after {@link
- * #cancel()}. A request is sent only after the sockets were read once more since its connection
- * opened, so that a caller who has left meanwhile is noticed. Confined to one event loop.
+ * <p>Invariants: exactly one of {@link Listener#withdrawn}, {@link Listener#connectFailed}, {@link
+ * Listener#rejected}, {@link Listener#failed}, {@link Listener#responseReceived} and {@link
+ * Listener#streamEnded} is called, unless the call is cancelled first; nothing is called after that
+ * or after {@link #cancel()}. A request is sent only after the sockets were read once more since
+ * its connection opened, so that a caller who has left meanwhile is noticed. Confined to one event
+ * loop.
  */
 final class UpstreamCall {
   private static final String EVENT_STREAM = "text/event-stream";
@@ -50,13 +51,13 @@
   /** Told what comes of the call, on the event loop. */
   interface Listener {
     /** Returns whether the request is still to be sent, now that a connection is open. */
-    boolean isWanted();
+    boolean shouldSend();
 
     /** Nothing was sent, as the request was not wanted any more when a connection was open. */
     void withdrawn();
 
     /** No connection came about. */
-    void unreached(String cause);
+    void connectFailed(String cause);
 
     /** The head of an answer came, whatever it answers. */
     void headReceived(UpstreamResponse head);
@@ -68,13 +69,13 @@
     void failed(String cause, Optional<UpstreamResponse> answer);
 
     /** A whole answer with success came. */
-    void answered(UpstreamResponse answer);
+    void responseReceived(UpstreamResponse answer);
 
     /** A whole event of a stream came. */
-    void event(UpstreamResponse head, EventStreamSplitter.Event event);
+    void eventReceived(UpstreamResponse head, EventStreamSplitter.Event event);
 
     /** A stream ended as the protocol says. */
-    void ended(UpstreamResponse head);
+    void streamEnded(UpstreamResponse head);
   }
 
   UpstreamCall(
@@ -116,7 +117,7 @@
         .onFailure(
             cause -> {
               if (end()) {
-                listener.unreached(String.valueOf(cause.getMessage()));
+                listener.connectFailed(String.valueOf(cause.getMessage()));
               }
             });
   }
@@ -146,7 +147,7 @@
       opened.reset();
       return;
     }
-    if (!listener.isWanted()) {
+    if (!listener.shouldSend()) {
       end();
       opened.reset();
       listener.withdrawn();
@@ -206,7 +207,7 @@
     if (stream) {
       for (EventStreamSplitter.Event event : splitter.feed(bytes.getBytes())) {
         if (!over) {
-          listener.event(head, event);
+          listener.eventReceived(head, event);
         }
       }
       hold(splitter.remainingBytes());
@@ -243,11 +244,11 @@
 
   private void succeed() {
     if (!stream) {
-      listener.answered(head);
+      listener.responseReceived(head);
     } else if (splitter.remainingBytes() > 0) {
       listener.failed("stream ended within an event", Optional.empty());
     } else {
-      listener.ended(head);
+      listener.streamEnded(head);
     }
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/WaitingRequests.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/WaitingRequests.java
@@ -27,7 +27,7 @@
     long deadline();
 
     /** Looks for a runner again; the request waits no more unless it asks to. */
-    void tryAgain();
+    void retry();
   }
 
   WaitingRequests(Vertx vertx) {
@@ -55,7 +55,7 @@
     List<Waiting> woken = new ArrayList<>(waiting);
     waiting.clear();
     woken.sort(Comparator.comparingInt(Waiting::priority).thenComparingLong(Waiting::deadline));
-    woken.forEach(Waiting::tryAgain);
+    woken.forEach(Waiting::retry);
   }
 
   private void schedule() {
--- a/daemon/src/test/java/org/agatefield/daemon/forward/AdapterSlotsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/AdapterSlotsTest.java
@@ -16,37 +16,37 @@
   @Test
   void anAdapterThatWasToldToGoKeepsItsPlaceUntilItIsGone() {
     slots.loaded("m/a1", 0);
-    assertEquals(Optional.of("m/a1"), slots.release(LATER));
-    assertEquals(1, slots.taken());
-    slots.gone("m/a1");
-    assertEquals(0, slots.taken());
+    assertEquals(Optional.of("m/a1"), slots.evict(LATER));
+    assertEquals(1, slots.used());
+    slots.removed("m/a1");
+    assertEquals(0, slots.used());
   }
 
   @Test
   void anAdapterThatIsLeavingIsNotOffered() {
     slots.loaded("m/a1", 0);
-    slots.release(LATER);
-    assertFalse(slots.use("m/a1", LATER));
-    slots.keep("m/a1");
-    assertTrue(slots.use("m/a1", LATER));
+    slots.evict(LATER);
+    assertFalse(slots.touch("m/a1", LATER));
+    slots.retain("m/a1");
+    assertTrue(slots.touch("m/a1", LATER));
   }
 
   @Test
   void anAdapterUsedLatelyStays() {
     slots.loaded("m/a1", 0);
     slots.loaded("m/a2", 0);
-    slots.use("m/a1", LATER);
-    assertEquals(Optional.of("m/a2"), slots.release(LATER));
-    assertEquals(Optional.empty(), slots.release(LATER));
+    slots.touch("m/a1", LATER);
+    assertEquals(Optional.of("m/a2"), slots.evict(LATER));
+    assertEquals(Optional.empty(), slots.evict(LATER));
   }
 
   @Test
   void whatTheRunnerReportsTakesPlaceAndWhatItLacksDoesNot() {
     slots.loaded("m/a1", 0);
     slots.reported(Set.of("m/a2", "n/a1"));
-    assertEquals(2, slots.taken());
+    assertEquals(2, slots.used());
     assertFalse(slots.holds("m/a1"));
     slots.forgetModel("m");
-    assertEquals(1, slots.taken());
+    assertEquals(1, slots.used());
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -57,7 +57,7 @@
       messages.merge(instance.id(), 1, Integer::sum);
       if (!dead.contains(instance.id()) && !dead.contains(self.id())) {
         Member receiver = members.get(instance.id());
-        receiver.exchange.heard((PeerMessage.RunnerLoadReport) message, now);
+        receiver.exchange.reportReceived((PeerMessage.RunnerLoadReport) message, now);
       }
     }
   }
@@ -84,7 +84,7 @@
     while (now < end) {
       now += LoadExchange.PERIOD_MILLISECONDS;
       for (Member member : new ArrayList<>(members.values())) {
-        member.exchange.tell(now);
+        member.exchange.sendReports(now);
       }
     }
   }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
@@ -12,16 +12,16 @@
   void orderWithoutAnswerCountsInTheNextLifeUntilItCanNoLongerTakeEffect() {
     late.sent("m1", 1_000);
     assertEquals(Set.of(), late.models(1_000));
-    late.newLife();
-    assertEquals(Set.of("m1"), late.models(1_000 + OutstandingOrders.LATE_MILLISECONDS));
-    assertEquals(Set.of(), late.models(1_001 + OutstandingOrders.LATE_MILLISECONDS));
+    late.runnerRestarted();
+    assertEquals(Set.of("m1"), late.models(1_000 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
+    assertEquals(Set.of(), late.models(1_001 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
   }
 
   @Test
   void adaptersAreCountedApartFromModels() {
     late.sent("m1/a1", 0);
     late.sent("m2", 0);
-    late.newLife();
+    late.runnerRestarted();
     assertEquals(1, late.adapters(1));
     assertEquals(Set.of("m2"), late.models(1));
   }
@@ -29,9 +29,9 @@
   @Test
   void secondRestartKeepsWhatThePreviousOneLeft() {
     late.sent("m1", 0);
-    late.newLife();
+    late.runnerRestarted();
     late.sent("m2", 100);
-    late.newLife();
+    late.runnerRestarted();
     assertEquals(Set.of("m1", "m2"), late.models(200));
   }
 
@@ -40,7 +40,7 @@
     late.sent("m1", 0);
     late.sent("m2", 0);
     late.answered("m1");
-    late.newLife();
+    late.runnerRestarted();
     late.answered("m2");
     assertEquals(Set.of(), late.models(1));
   }
@@ -49,10 +49,11 @@
   void ordersOutliveTheEntryOfTheirRunner() {
     OutstandingOrdersByRunner byRunner = new OutstandingOrdersByRunner();
     byRunner.of("r").sent("m1", 0);
-    byRunner.gone("r");
+    byRunner.runnerRemoved("r");
     byRunner.forget(runner -> false, 5_000);
     assertEquals(Set.of("m1"), byRunner.of("r").models(5_000));
-    byRunner.forget(runner -> false, 1 + OutstandingOrders.LATE_MILLISECONDS);
-    assertEquals(Set.of(), byRunner.of("r").models(1 + OutstandingOrders.LATE_MILLISECONDS));
+    byRunner.forget(runner -> false, 1 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS);
+    assertEquals(
+        Set.of(), byRunner.of("r").models(1 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -124,7 +124,7 @@
       if (reaches(self.id(), to.id())) {
         schedule(
             way(self, to),
-            () -> members.get(to.id()).quotas.heard((PeerMessage.QuotaReturn) message));
+            () -> members.get(to.id()).quotas.tokensReturned((PeerMessage.QuotaReturn) message));
       }
     }
 
@@ -201,7 +201,7 @@
     for (int index = 0; index < INSTANCES; index++) {
       startMember(index, account);
     }
-    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::keepAll);
+    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::keepAll);
     runUntil(15_000);
   }
 
@@ -214,8 +214,8 @@
 
   private void keepAll() {
     members.values().forEach(member -> member.size.look(now));
-    members.values().forEach(member -> member.quotas.keep(now));
-    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::keepAll);
+    members.values().forEach(member -> member.quotas.refresh(now));
+    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::keepAll);
   }
 
   private void ask(ClientAccount account, Random random, Optional<Integer> region) {
@@ -237,7 +237,7 @@
         decision -> {
           if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
             if (random.nextDouble() < unusedShare) {
-              schedule(200, () -> member.quotas.giveBack(account, REQUEST_TOKENS));
+              schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
           }
@@ -341,7 +341,7 @@
         members.values().stream().filter(member -> member.quotas.holds("account")).toList();
     assertEquals(2, holders.size());
     for (Member holder : holders) {
-      holder.quotas.handOver();
+      holder.quotas.transferToNextHolders();
     }
     runUntil(now + 100);
     holders.forEach(holder -> members.remove(holder.self.id()));
