--- a/daemon/src/main/java/org/agatefield/daemon/forward/AdapterProvider.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/AdapterProvider.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Has adapters loaded. Called on, and completes on, the event loop. */
+/** Requests adapter loads. Called on, and completes on, the event loop. */
 @FunctionalInterface
 interface AdapterProvider {
   /** Completes with whether the runner has the adapter now; never fails. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/AdapterSlots.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/AdapterSlots.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /**
- * The adapters that take a place at one runner, written as {@code model/adapter}.
+ * Tracks the adapters that occupy slots of one runner, written as {@code model/adapter}.
  *
- * <p>Invariant: an adapter that was told to go keeps its place until the runner confirmed that it
- * is gone. Confined to one event loop.
+ * <p>Invariant: an adapter ordered to be unloaded occupies its slot until the runner confirms the
+ * unload. Confined to one event loop.
  */
 final class AdapterSlots {
   private static final long MINIMUM_RETENTION_MILLISECONDS =
-      4_000; // instances trust a confirmation for less
+      4_000; // Instances rely on a confirmation for less time.
 
   private final Map<String, Slot> slotsByAdapter = new HashMap<>();
   private int slots;
@@ -40,7 +40,7 @@
     return slotsByAdapter.containsKey(adapter);
   }
 
-  /** Notes that an adapter is wanted; returns whether it is there and stays. */
+  /** Records the use of an adapter; returns whether it is loaded and not being unloaded. */
   boolean touch(String adapter, long now) {
     Slot slot = slotsByAdapter.get(adapter);
     if (slot == null || slot.unloading) {
@@ -56,7 +56,7 @@
     slot.unloading = false;
   }
 
-  /** Chooses the adapter that was unused for longest to go; empty if all are in use. */
+  /** Selects the least recently used adapter for unloading; empty if all are in use. */
   Optional<String> evict(long now) {
     Optional<Map.Entry<String, Slot>> oldest =
         slotsByAdapter.entrySet().stream()
@@ -69,7 +69,7 @@
     return Optional.of(oldest.get().getKey());
   }
 
-  /** The runner kept an adapter that was told to go. */
+  /** Records that the runner did not unload an adapter. */
   void retain(String adapter) {
     Slot slot = slotsByAdapter.get(adapter);
     if (slot != null) {
@@ -85,7 +85,7 @@
     slotsByAdapter.keySet().removeIf(adapter -> adapter.startsWith(model + '/'));
   }
 
-  /** Takes in what the runner says it has or is loading. */
+  /** Applies the adapters that the runner reports as loaded or loading. */
   void reported(Set<String> present) {
     slotsByAdapter.keySet().retainAll(present);
     present.forEach(adapter -> slotsByAdapter.computeIfAbsent(adapter, ignored -> new Slot()));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/CallerResponse.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/CallerResponse.java
@@ -11,9 +11,9 @@
 import org.agatefield.forwarding.RefusalReason;
 
 /**
- * Writes the answer to one request.
+ * Writes the response to one request.
  *
- * <p>Invariant: an answer that is not whole never looks complete. Confined to one event loop.
+ * <p>Invariant: an incomplete response never appears complete. Confined to one event loop.
  */
 final class CallerResponse {
   private static final int UNAUTHORIZED = 401;
@@ -33,12 +33,12 @@
   }
 
   void respond(UpstreamResponse answer) {
-    HttpServerResponse response = begin(answer);
+    HttpServerResponse response = startResponse(answer);
     response.end(answer.body());
   }
 
   void beginStream(UpstreamResponse head, byte[] event) {
-    HttpServerResponse response = begin(head);
+    HttpServerResponse response = startResponse(head);
     response.setChunked(true);
     response.write(Buffer.buffer(event));
   }
@@ -51,15 +51,15 @@
     request.response().end();
   }
 
-  /** Closes the connection, so that the caller sees that the answer is not complete. */
+  /** Closes the connection, so that the caller detects that the response is incomplete. */
   void abort() {
     request.connection().close();
   }
 
   /**
-   * Answers that the request has not run.
+   * Responds that the request has not run.
    *
-   * @param retryAfterMilliseconds when to come back
+   * @param retryAfterMilliseconds when the caller should retry
    */
   void refuse(RefusalReason reason, long retryAfterMilliseconds) {
     String seconds = String.format(Locale.ROOT, "%.2f", retryAfterMilliseconds / 1_000.0);
@@ -69,7 +69,7 @@
           case OVER_QUOTA -> TOO_MANY_REQUESTS;
           default -> SERVICE_UNAVAILABLE;
         };
-    HttpServerResponse response = own(status);
+    HttpServerResponse response = startErrorResponse(status);
     if (reason != RefusalReason.UNKNOWN_KEY) {
       response.putHeader(HttpHeaders.RETRY_AFTER, seconds);
     }
@@ -78,20 +78,23 @@
 
   void fail(FailureReason reason) {
     int status = reason == FailureReason.DEADLINE ? GATEWAY_TIMEOUT : BAD_GATEWAY;
-    own(status).end(reason.name().toLowerCase(Locale.ROOT));
+    startErrorResponse(status).end(reason.name().toLowerCase(Locale.ROOT));
   }
 
-  /** Answers with a status of our own that is about the request itself. */
+  /** Responds with an error status of this daemon about the request itself. */
   void reject(int status, String message) {
-    own(status).end(message);
+    startErrorResponse(status).end(message);
   }
 
-  /** Returns a delay around a middle value, so that refused callers do not return together. */
-  static long spread(long milliseconds) {
+  /**
+   * Returns a random delay around the given one, so that refused callers do not all retry at the
+   * same time.
+   */
+  static long jittered(long milliseconds) {
     return ThreadLocalRandom.current().nextLong(milliseconds / 2, milliseconds * 3 / 2 + 1);
   }
 
-  private HttpServerResponse begin(UpstreamResponse answer) {
+  private HttpServerResponse startResponse(UpstreamResponse answer) {
     HttpServerResponse response = request.response();
     response.setStatusCode(answer.status());
     headers.forCaller(answer.headers(), response.headers());
@@ -99,7 +102,7 @@
     return response;
   }
 
-  private HttpServerResponse own(int status) {
+  private HttpServerResponse startErrorResponse(int status) {
     HttpServerResponse response = request.response();
     response.setStatusCode(status);
     response.putHeader(HttpHeaders.CONTENT_TYPE, "text/plain");
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ConfigurationTracker.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ConfigurationTracker.java
@@ -57,7 +57,7 @@
   void applyIfNewer(JsonNode newContent, String source) {
     Optional<ForwardingTable> decoded = dialect.decodeTable(newContent);
     if (decoded.isEmpty()) {
-      LOGGER.warn("configuration source={} unreadable, version={} stays", source, version());
+      LOGGER.warn("configuration source={} unreadable; keeping version={}", source, version());
       return;
     }
     if (table.isPresent() && decoded.get().version() <= version()) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/DemandMeter.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/DemandMeter.java
@@ -9,7 +9,7 @@
 
 /** Counts this instance's demand for models between two reports. Confined to one event loop. */
 final class DemandMeter {
-  private static final int LEAST_URGENT = 9;
+  private static final int LOWEST_PRIORITY = 9;
 
   private final Map<Key, Counts> counts = new HashMap<>();
 
@@ -21,7 +21,7 @@
     private int waiting;
     private int running;
     private final Map<String, Integer> runningAt = new HashMap<>();
-    private int priority = LEAST_URGENT;
+    private int priority = LOWEST_PRIORITY;
   }
 
   void arrived(String service, PromptTerms prompt, int priority) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Returns the demand since the call before. */
+  /** Returns the demand since the previous call. */
   List<ModelDemand> take() {
     List<ModelDemand> demands = new ArrayList<>();
     counts.forEach(
@@ -66,7 +66,7 @@
             each -> {
               each.tokens = 0;
               each.requests = 0;
-              each.priority = LEAST_URGENT;
+              each.priority = LOWEST_PRIORITY;
             });
     return demands;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -37,14 +37,14 @@
   private static final long POLL_MILLISECONDS = 250;
   private static final long IDLE_POLL_MILLISECONDS = 2_000;
   private static final long UNLOAD_RETRY_MILLISECONDS = 80; // Idle models are unloaded immediately.
-  private static final long ADAPTER_LOAD_MILLISECONDS = 20; // The specification gives 7 to 13 ms.
+  private static final long ADAPTER_LOAD_MILLISECONDS = 20; // The data sheets give 7 to 13 ms.
   private static final int MAXIMUM_TRIES = 8;
   private static final int SUCCESS = 200;
 
   private final Vertx vertx;
-  private final RunnerClient calls;
+  private final RunnerClient runnerClient;
   private final RunnerDialect dialect;
-  private final Orders orders;
+  private final PlannerCallbacks planner;
   private RunnerEntry runner;
   private final Deque<EngineTask> tasks = new ArrayDeque<>();
   private final AdapterSlots adapters = new AdapterSlots();
@@ -65,7 +65,7 @@
   private boolean loadingFromStore;
 
   /** Provides the planner's lease grant and receives load events. */
-  interface Orders {
+  interface PlannerCallbacks {
     /** Returns the grant under which orders may be sent now. */
     Optional<LeaseGrant> grant();
 
@@ -88,13 +88,13 @@
       Vertx vertx,
       HttpClient client,
       RunnerDialect dialect,
-      Orders orders,
+      PlannerCallbacks planner,
       OutstandingOrders outstanding) {
     this.outstanding = outstanding;
     this.vertx = vertx;
-    this.calls = new RunnerClient(client, dialect);
+    this.runnerClient = new RunnerClient(client, dialect);
     this.dialect = dialect;
-    this.orders = orders;
+    this.planner = planner;
   }
 
   void update(RunnerEntry entry, boolean newProcess, int slots) {
@@ -154,7 +154,7 @@
   void begin(ReplicaMove move) {
     loadingFromStore = move.fromStore();
     for (String model : move.unload()) {
-      orders.dropping(runner.id(), model);
+      planner.dropping(runner.id(), model);
       tasks.add(new EngineTask(Action.UNLOAD, model, Optional.empty()));
     }
     tasks.add(new EngineTask(Action.LOAD, move.load(), Optional.empty()));
@@ -237,7 +237,7 @@
   }
 
   private void send(EngineTask task) {
-    Optional<LeaseGrant> grant = orders.grant();
+    Optional<LeaseGrant> grant = planner.grant();
     if (grant.isEmpty()) {
       abandonAll();
       return;
@@ -253,7 +253,11 @@
     }
     task.countTry();
     if (task.tries() > MAXIMUM_TRIES) {
-      LOGGER.warn("runner={} {} {} given up", runner.id(), task.action(), task.model());
+      LOGGER.warn(
+          "runner={} {} {} abandoned after too many attempts",
+          runner.id(),
+          task.action(),
+          task.model());
       complete(task, false);
       return;
     }
@@ -262,7 +266,7 @@
             task.action(),
             task.model(),
             task.adapter(),
-            orders.holder(),
+            planner.holder(),
             grant.get().fencingToken(),
             acceptedOrders);
     sending = true;
@@ -270,8 +274,8 @@
     if (task.action() == Action.LOAD) {
       outstanding.sent(task.load(), lastOrderAt);
     }
-    calls
-        .order(runner, dialect.encodeOrder(order))
+    runnerClient
+        .sendOrder(runner, dialect.encodeOrder(order))
         .whenComplete(
             (answer, failure) -> {
               sending = false;
@@ -385,14 +389,14 @@
     }
     reading = true;
     long askedAt = MonotonicClock.milliseconds();
-    calls
-        .report(runner)
+    runnerClient
+        .fetchReport(runner)
         .whenComplete(
             (answer, failure) -> {
               reading = false;
               reportAt = MonotonicClock.milliseconds();
               if (failure != null || answer.status() != SUCCESS) {
-                LOGGER.debug("runner={} report unread", runner.id());
+                LOGGER.debug("runner={} report not read", runner.id());
                 return;
               }
               dialect.decodeReport(answer.body()).ifPresent(report -> applyReport(report, askedAt));
@@ -444,7 +448,7 @@
         adapters.loaded(task.model() + '/' + task.adapter().get(), MonotonicClock.milliseconds());
       } else {
         models.add(task.model());
-        orders.loaded(runner.id(), task.model());
+        planner.loaded(runner.id(), task.model());
       }
     }
     if (!success && task.adapter().isPresent() && task.action() == Action.UNLOAD) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EntryDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EntryDirectory.java
@@ -9,13 +9,13 @@
 import org.agatefield.model.InstanceState;
 
 /**
- * Answers which instances a caller should use.
+ * Selects the instances that a caller should use.
  *
- * <p>Instances of the caller's failure domain come alone while there are any, since bytes between
- * failure domains are slow and paid for; then those of its region; then all. Stateless.
+ * <p>Returns only instances of the caller's failure domain if there are any, since traffic between
+ * failure domains is slow and charged; otherwise those of its region; otherwise all. Stateless.
  */
 final class EntryDirectory {
-  private static final int MAXIMUM_ADDRESSES = 64; // callers read no more
+  private static final int MAXIMUM_ADDRESSES = 64; // Callers read no more.
 
   private EntryDirectory() {}
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EntryListeners.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EntryListeners.java
@@ -17,13 +17,13 @@
 import org.agatefield.settings.ForwardingSettings;
 
 /**
- * Listens for callers, for those that ask the directory, for readiness checks and for metrics.
+ * Opens the listeners for callers, directory queries, readiness checks and metrics.
  *
  * <p>Requests are handled on one event loop.
  */
 final class EntryListeners {
-  private static final int CALLER_IDLE_SECONDS = 120; // beyond any idle time that callers use
-  // The configuration's bound is not known when the listener opens; the usual one is a quarter.
+  private static final int CALLER_IDLE_SECONDS = 120; // Longer than any idle time of callers.
+  // The configured limit is not known when the listener opens; the usual one is a quarter of this.
   private static final int HEADER_BYTES = 65_536;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
@@ -38,8 +38,8 @@
   /**
    * Creates listeners.
    *
-   * @param ready whether this instance takes new connections
-   * @param answering the instances that callers may be sent to
+   * @param ready whether this instance accepts new connections
+   * @param answering the instances that callers may be directed to
    */
   EntryListeners(
       Vertx vertx,
@@ -54,7 +54,7 @@
     this.answering = answering;
   }
 
-  /** Listens on all addresses; completes when it does, or with the first failure. */
+  /** Listens on all addresses; completes when all listeners are open, or with the first failure. */
   CompletableFuture<Void> listen(IngressServer ingress, MetricRegistry metrics) {
     ForwardingSettings.Listeners listeners = settings.listeners();
     List<CompletableFuture<?>> listening = new ArrayList<>();
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingContext.java
@@ -12,29 +12,29 @@
 import org.agatefield.forwarding.SendPolicy;
 
 /**
- * What every request needs. Immutable.
+ * Holds the components that requests share. Immutable.
  *
  * @param vertx runs timers
- * @param delay tells how far the event loop is behind
- * @param responseMemory bounds the answers that are not whole yet
+ * @param delay measures how far the event loop is behind
+ * @param responseMemory limits the memory of incomplete responses
  * @param client opens connections to runners
- * @param dialect how callers and runners are talked to
- * @param headers which headers are passed on
- * @param table the configuration in force; empty before any is known
- * @param selector finds runners
- * @param availability what runners say of themselves in their answers
+ * @param dialect encodes and decodes the messages of callers and runners
+ * @param headers determines which headers are forwarded
+ * @param table the configuration in force; empty until one is known
+ * @param selector selects runners
+ * @param availability the leaving and backoff announcements of runners
  * @param sending decides whether a request is sent, waits or is refused
- * @param loads what is known of the work at runners
- * @param presence what is known of models and adapters at runners
- * @param adapters has adapters loaded
+ * @param loads the estimated load of each runner
+ * @param presence the models and adapters assumed to be loaded on each runner
+ * @param adapters requests adapter loads
  * @param quotas decides whether a client account's quota allows a request
- * @param budgets grants repeated requests
+ * @param budgets grants retries
  * @param demand counts demand for models
  * @param waiting requests that wait for a runner
- * @param exchanges requests that are not answered yet
+ * @param exchanges requests without a complete response
  * @param metrics counts outcomes
- * @param leaving whether new connections are to go elsewhere
- * @param refusing whether new requests are refused, since the process ends soon
+ * @param leaving whether new connections should go to other instances
+ * @param refusing whether new requests are refused because the process is about to end
  */
 record ForwardingContext(
     Vertx vertx,
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -48,7 +48,7 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Wires a forwarding daemon together and holds it until it ends.
+ * Assembles a forwarding daemon and manages its lifecycle.
  *
  * <p>{@link #start()} and {@link #shutDown()} are called once each, from outside the event loop to
  * which all state is confined.
@@ -56,17 +56,20 @@
 public final class ForwardingDaemon {
   private static final Logger LOGGER = LogManager.getLogger(ForwardingDaemon.class);
   private static final String PLANNER_LEASE = "planner";
-  private static final Duration LEASE_DURATION = Duration.ofSeconds(4); // a takeover within five
+  private static final Duration LEASE_DURATION =
+      Duration.ofSeconds(4); // Allows a takeover within five seconds.
   private static final Duration STORE_TIMEOUT = Duration.ofMillis(1_500);
-  private static final Duration STORE_POLL = Duration.ofSeconds(60); // the watch is checked itself
-  private static final Duration LONGEST_STORE_DELAY = Duration.ofMillis(1_000);
-  private static final int CONNECT_MILLISECONDS = 400; // several times the way between regions
+  private static final Duration STORE_POLL =
+      Duration.ofSeconds(60); // Polling only verifies the watch.
+  private static final Duration MAXIMUM_STORE_DELAY = Duration.ofMillis(1_000);
+  private static final int CONNECT_MILLISECONDS = 400; // Several times the latency between regions.
   private static final int CONNECTIONS_PER_RUNNER = 400;
   private static final long LAPSE_CHECK_MILLISECONDS =
-      240; // a tenth of the patience with lapsed entries
-  private static final long LEAVING_MILLISECONDS = 1_500; // most callers have asked again
+      240; // A tenth of the time that expired entries are retained.
+  private static final long REFUSAL_DELAY_MILLISECONDS =
+      1_500; // Most callers have queried the directory again by then.
   private static final long SHUTDOWN_CHECK_MILLISECONDS = 50;
-  private static final long SHORTEST_LEAVING_MILLISECONDS = 3_500;
+  private static final long MINIMUM_LEAVING_MILLISECONDS = 3_500;
   private static final long GRACE_MARGIN_MILLISECONDS = 500;
   private static final double MILLISECONDS_PER_SECOND = 1_000;
 
@@ -100,14 +103,14 @@
   private volatile boolean leaving;
   private volatile boolean refusing;
 
-  /** Creates a daemon; nothing is started yet. */
+  /** Creates a daemon without starting anything. */
   public ForwardingDaemon(ForwardingSettings settings, PlatformDialect dialect) {
     this(settings, dialect, newVertx());
   }
 
   /**
-   * Creates a daemon that runs on one event loop of {@code vertx}, which it closes at its end;
-   * nothing is started yet.
+   * Creates a daemon that runs on one event loop of {@code vertx} and closes it on shutdown; starts
+   * nothing yet.
    */
   public ForwardingDaemon(ForwardingSettings settings, PlatformDialect dialect, Vertx vertx) {
     this.settings = settings;
@@ -121,7 +124,7 @@
     this.snapshots = new SnapshotExchange(vertx, configuration, runners);
   }
 
-  /** Returns what a daemon runs on unless it is given another: one event loop. */
+  /** Returns the default runtime of a daemon, with one event loop. */
   public static Vertx newVertx() {
     return Vertx.vertx(
         new VertxOptions()
@@ -131,7 +134,7 @@
   }
 
   /**
-   * Starts everything and returns once all addresses are listened on; closes all if that fails.
+   * Starts the daemon and returns when it listens on all addresses; closes everything on failure.
    *
    * @throws AgatefieldException if an address is already in use
    */
@@ -143,14 +146,14 @@
       context.runOnContext(
           run -> {
             try {
-              startParts(random, started);
+              startComponents(random, started);
             } catch (RuntimeException exception) {
               started.completeExceptionally(exception);
             }
           });
       started.join();
     } catch (AgatefieldException | CompletionException exception) {
-      closer.close(); // threads that were started would keep the process alive
+      closer.close(); // Threads that were already started would keep the process alive.
       Throwable cause = exception.getCause() == null ? exception : exception.getCause();
       throw new AgatefieldException(ErrorKind.INTERNAL, "the daemon did not start", cause);
     }
@@ -175,7 +178,7 @@
     peers = closer.register(new ForwardingPeers(self, context, metrics, random));
   }
 
-  private void startParts(UniformRandomProvider random, CompletableFuture<Void> started) {
+  private void startComponents(UniformRandomProvider random, CompletableFuture<Void> started) {
     plannerClient = new PlannerClient(peers, presence, waiting, demand, () -> lease.refresh());
     loadExchange = new LoadExchange(peers, loads, settings.failureDomain());
     availability = new RunnerAvailability(peers::broadcast);
@@ -217,7 +220,8 @@
               if (failure != null) {
                 started.completeExceptionally(failure);
               } else {
-                // The time for the first answer must not run while the loop is busy with the start.
+                // The timeout of the first response must not include the time that the start
+                // occupies the loop.
                 vertx.runOnContext(run -> informers.forEach(ObjectInformer::start));
                 started.complete(null);
               }
@@ -236,7 +240,7 @@
     ObjectRelay relay = new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
     objectRelays.put(kind.plural(), relay);
     ObjectInformer informer =
-        new ObjectInformer(vertx, source, kind, STORE_POLL, LONGEST_STORE_DELAY);
+        new ObjectInformer(vertx, source, kind, STORE_POLL, MAXIMUM_STORE_DELAY);
     informers.add(closer.register(informer.listen(listener).listen(relay)));
   }
 
@@ -286,7 +290,7 @@
     metrics.registerGauge("agatefield.forwarding.waiting", (Gauge<Integer>) waiting::size);
     metrics.registerGauge("agatefield.forwarding.open", (Gauge<Integer>) ingress::open);
     metrics.registerGauge(
-        "agatefield.forwarding.answer-bytes", (Gauge<Long>) responseMemory::heldBytes);
+        "agatefield.forwarding.answer-bytes", (Gauge<Long>) responseMemory::totalBytes);
     metrics.registerGauge("agatefield.configuration.version", (Gauge<Long>) configuration::version);
     metrics.registerGauge(
         "agatefield.runners.age-milliseconds", (Gauge<Long>) runners::ageMilliseconds);
@@ -345,7 +349,7 @@
     planner.start();
   }
 
-  /** Two processes of one instance never live at once, as both listen on its addresses. */
+  /** Two processes of one instance never run at the same time, as both listen on its addresses. */
   private boolean isEarlierProcessOfThisInstance(String holder) {
     String prefix = settings.instanceName() + "-";
     boolean sameInstance = holder.startsWith(prefix) && holder.indexOf('-', prefix.length()) < 0;
@@ -353,35 +357,35 @@
   }
 
   private void startTimers() {
-    PeriodicTasks duties = new PeriodicTasks(vertx, LoadExchange.PERIOD_MILLISECONDS, delay);
-    duties.every(LoadExchange.PERIOD_MILLISECONDS, loadExchange::sendReports);
-    duties.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerClient.reportDemand());
-    duties.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerClient.announce());
-    duties.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
-    duties.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
-    duties.every(RegionalQuotaPolicy.REFRESH_MILLISECONDS, quotas::refresh);
-    duties.start();
+    PeriodicTasks tasks = new PeriodicTasks(vertx, LoadExchange.PERIOD_MILLISECONDS, delay);
+    tasks.every(LoadExchange.PERIOD_MILLISECONDS, loadExchange::sendReports);
+    tasks.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerClient.reportDemand());
+    tasks.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerClient.announce());
+    tasks.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
+    tasks.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
+    tasks.every(RegionalQuotaPolicy.REFRESH_MILLISECONDS, quotas::refresh);
+    tasks.start();
   }
 
-  /** Stops talking to other instances, as a process does that dies; for tests of the others. */
+  /** Closes the peer connections as if the process had died; used to test the other instances. */
   public void closePeers() {
     peers.close();
   }
 
-  /** Takes settings that changed while the daemon runs; only the seeds can change. */
+  /** Applies changed settings at run time; only the seeds can change. */
   public void reload(ForwardingSettings changed) {
     LOGGER.info("settings reloaded seeds={} before={}", changed.peers(), settings.peers());
     peers.seedsChanged(changed.peers());
   }
 
   /**
-   * Finishes what runs, then closes everything.
+   * Completes open requests, then closes everything.
    *
    * @return whether every request was answered
    */
   public boolean shutDown() {
-    final long begun = MonotonicClock.milliseconds();
-    LOGGER.info("leaving begun open={}", ingress.open());
+    final long startedAt = MonotonicClock.milliseconds();
+    LOGGER.info("shutdown started open={}", ingress.open());
     leaving = true;
     peers.leave();
     context.runOnContext(
@@ -390,14 +394,14 @@
           planner.stop();
           lease.close();
         });
-    long end = begun + settings.terms().grace().toMillis() - GRACE_MARGIN_MILLISECONDS;
+    long end = startedAt + settings.terms().grace().toMillis() - GRACE_MARGIN_MILLISECONDS;
     while (MonotonicClock.milliseconds() < end) {
-      long elapsed = MonotonicClock.milliseconds() - begun;
-      if (elapsed >= LEAVING_MILLISECONDS && !refusing) {
+      long elapsed = MonotonicClock.milliseconds() - startedAt;
+      if (elapsed >= REFUSAL_DELAY_MILLISECONDS && !refusing) {
         refusing = true;
         context.runOnContext(run -> List.copyOf(exchanges).forEach(RequestExchange::refuseUnsent));
       }
-      if (elapsed >= SHORTEST_LEAVING_MILLISECONDS && ingress.open() == 0) {
+      if (elapsed >= MINIMUM_LEAVING_MILLISECONDS && ingress.open() == 0) {
         break;
       }
       try {
@@ -408,14 +412,14 @@
       }
     }
     boolean complete = ingress.open() == 0;
-    answerTheRest();
-    LOGGER.info("leaving ended complete={} open={}", complete, ingress.open());
+    answerOpenRequests();
+    LOGGER.info("shutdown finished complete={} open={}", complete, ingress.open());
     closer.close();
     return complete;
   }
 
-  /** Answers what is still open, so that no connection closes without an answer. */
-  private void answerTheRest() {
+  /** Answers the remaining requests, so that no connection closes without a response. */
+  private void answerOpenRequests() {
     CompletableFuture<Void> answered = new CompletableFuture<>();
     context.runOnContext(
         run -> {
@@ -427,7 +431,7 @@
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException exception) {
-      LOGGER.warn("open requests were not answered at the end", exception);
+      LOGGER.warn("open requests were not answered before shutdown", exception);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingMetrics.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingMetrics.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.agatefield.forwarding.RouteKind;
 
-/** Counters and latency histograms of forwarded requests. Safe for use by any thread. */
+/** Records counters and latency histograms of forwarded requests. Safe for use by any thread. */
 final class ForwardingMetrics {
   private static final String PREFIX = "agatefield.forwarding.";
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -27,24 +27,28 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Membership and messages between forwarding daemons.
+ * Manages membership and messages between forwarding daemons.
  *
- * <p>Membership, transport and listener share the daemon's event loop, so that a message wakes one
- * thread. Created and closed by other threads, which wait for the loop; else safe for use by any
- * thread.
+ * <p>Membership, transport and listener share the daemon's event loop, so that a message wakes only
+ * one thread. Created and closed by other threads, which wait for the loop; otherwise safe for use
+ * by any thread.
  */
 final class ForwardingPeers
     implements LoadExchange.Fleet, RegionalQuotaPolicy.Fleet, AutoCloseable {
-  // Callers keep an answer that names a dead instance for seconds, so the dead are found in about
-  // two.
+  // Callers use a directory response that lists a dead instance for seconds, so dead instances are
+  // detected in about two seconds.
   private static final long PROBE_MILLISECONDS = 600;
-  private static final long PROBE_TIMEOUT_MILLISECONDS = 250; // four times the way between regions
+  private static final long PROBE_TIMEOUT_MILLISECONDS =
+      250; // Four times the latency between regions.
   private static final int SUSPICION_PROBES = 3;
-  // An instance hears from others several times in this span, by its own probes alone.
+  // Within this time an instance receives several messages from others through its own probes
+  // alone.
   private static final long ISOLATION_MILLISECONDS = 1_500;
-  // A fleet that starts has news of each member for each other one: fewer and larger messages.
-  private static final int UPDATES_PER_MESSAGE = 24; // some 3 KB
-  private static final int TRANSMIT_MULTIPLIER = 2; // exchanges find what these miss
+  // A starting fleet exchanges updates about every pair of members, so fewer and larger messages
+  // are used.
+  private static final int UPDATES_PER_MESSAGE = 24; // About 3 KB.
+  private static final int TRANSMIT_MULTIPLIER =
+      2; // Full state exchanges deliver updates that are missed.
 
   private final Closer closer = new Closer();
   private final ContextInternal context;
@@ -52,28 +56,28 @@
   private final NettyPeerTransport transport;
   private final MembershipDriver members;
   private final MembershipSettings settings;
-  private Listener listener; // set on the event loop before anything is handed to it
+  private Listener listener; // Set on the event loop before any message is passed to it.
   private volatile RelayView relayView;
-  private volatile long heardAt = MonotonicClock.milliseconds();
+  private volatile long lastMessageAt = MonotonicClock.milliseconds();
 
   private record RelayView(List<Instance> answering, DomainRelays relays) {}
 
-  /** Told of messages, on the daemon's event loop. */
+  /** Receives messages on the daemon's event loop. */
   interface Listener {
-    /** A member has a configuration of that version. */
+    /** Called when a member announces its configuration version. */
     void configurationAnnounced(Instance holder, long version);
 
-    /** A message came that expects no answer. */
+    /** Called with a message that expects no response. */
     void received(PeerMessage message);
 
-    /** A request came; it is answered with the future's message, or its failure. */
+    /** Called with a request; the future provides the response or the failure. */
     CompletableFuture<PeerMessage> requested(PeerMessage request);
   }
 
   /**
-   * Listens for peers, but drops what they send until {@link #start}.
+   * Opens the peer port, but discards messages until {@link #start}.
    *
-   * @param context on whose event loop everything runs; not that of the calling thread
+   * @param context its event loop runs everything; it must not be that of the calling thread
    */
   ForwardingPeers(
       Instance self, Context context, MetricRegistry metrics, UniformRandomProvider random) {
@@ -101,9 +105,9 @@
         "agatefield.peers.bytes-sent", (Gauge<Long>) transport.traffic()::bytesSent);
   }
 
-  /** Takes in what peers send, and looks for them at the seeds; called on the event loop. */
-  void start(List<Address> seeds, Listener toTell) {
-    listener = toTell;
+  /** Starts to handle messages and to contact the seeds; called on the event loop. */
+  void start(List<Address> seeds, Listener messageListener) {
+    listener = messageListener;
     transport.listen(new Handler());
     handle(new MembershipEvent.SeedsChanged(seeds));
     long tick = settings.tickMilliseconds();
@@ -113,7 +117,7 @@
     closer.register(() -> ticks.cancel(false));
   }
 
-  /** Hands an event to the membership, unless the event loop has ended. */
+  /** Passes an event to the membership unless the event loop is shutting down. */
   private void handle(MembershipEvent event) {
     if (!loop.isShuttingDown()) {
       context.emit(run -> members.handle(event));
@@ -125,7 +129,7 @@
     return members.self();
   }
 
-  /** Returns every instance believed to be alive, this one first. */
+  /** Returns every instance considered alive, this one first. */
   List<Instance> alive() {
     return members.alive();
   }
@@ -133,7 +137,7 @@
   @Override
   public boolean isIsolated() {
     boolean others = alive().size() > 1;
-    return others && MonotonicClock.milliseconds() - heardAt > ISOLATION_MILLISECONDS;
+    return others && MonotonicClock.milliseconds() - lastMessageAt > ISOLATION_MILLISECONDS;
   }
 
   /** Returns every instance that is alive and not suspected, this one first. */
@@ -142,7 +146,7 @@
     return members.answering();
   }
 
-  /** Takes other addresses to look for instances at. */
+  /** Replaces the seed addresses at which instances are discovered. */
   void seedsChanged(List<Address> seeds) {
     handle(new MembershipEvent.SeedsChanged(seeds));
   }
@@ -151,12 +155,12 @@
     return alive().stream().filter(instance -> instance.id().equals(id)).findFirst();
   }
 
-  /** Tells the others which configuration this instance has. */
+  /** Announces the configuration version of this instance to the others. */
   void announceConfigurationVersion(long version) {
     handle(new MembershipEvent.GenerationRaised(version));
   }
 
-  /** Marks this instance as leaving, for good, and tells the others. */
+  /** Permanently marks this instance as leaving and announces it to the others. */
   void leave() {
     handle(new MembershipEvent.LeaveRequested());
   }
@@ -172,15 +176,15 @@
     return view.relays();
   }
 
-  /** Sends a message that may be lost to every other instance that is alive. */
+  /** Sends a message to every other live instance without delivery guarantee. */
   void broadcast(PeerMessage message) {
-    tellNeighbours(message);
+    sendToNeighbours(message);
     relays().direct().forEach(instance -> send(instance, message));
     PeerMessage relayed = new PeerMessage.Relayed(message);
     relays().relays().forEach(instance -> send(instance, relayed));
   }
 
-  private void tellNeighbours(PeerMessage message) {
+  private void sendToNeighbours(PeerMessage message) {
     relays().neighbours().forEach(instance -> send(instance, message));
   }
 
@@ -192,7 +196,7 @@
   /**
    * Sends a request; the future completes on the daemon's event loop.
    *
-   * @param limitMilliseconds how long to wait for the answer
+   * @param limitMilliseconds the response timeout
    */
   @Override
   public CompletableFuture<PeerMessage> request(
@@ -200,7 +204,9 @@
     CompletableFuture<PeerMessage> answered = new CompletableFuture<>();
     Future<?> limit =
         loop.schedule(
-            () -> answered.completeExceptionally(new TimeoutException("no answer in time")),
+            () ->
+                answered.completeExceptionally(
+                    new TimeoutException("no response within the time limit")),
             limitMilliseconds,
             TimeUnit.MILLISECONDS);
     transport
@@ -224,17 +230,17 @@
     closer.close();
   }
 
-  /** Takes what peers send; called on the event loop. */
+  /** Handles messages of peers on the event loop. */
   private final class Handler implements PeerHandler {
     @Override
     public void received(PeerMessage message) {
       context.emit(
           run -> {
-            heardAt = MonotonicClock.milliseconds();
+            lastMessageAt = MonotonicClock.milliseconds();
             if (message instanceof PeerMessage.Membership step) {
               members.received(step);
             } else if (message instanceof PeerMessage.Relayed relayed) {
-              tellNeighbours(relayed.message());
+              sendToNeighbours(relayed.message());
               listener.received(relayed.message());
             } else {
               listener.received(message);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/HeaderRules.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/HeaderRules.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which headers are passed on. Immutable and safe for use by any thread. */
+/** Determines which headers are forwarded. Immutable and safe for use by any thread. */
 final class HeaderRules {
-  // RFC 9110, section 7.6.1, and the framing, which each connection chooses for itself.
+  // Hop-by-hop headers of RFC 9110, section 7.6.1, and framing headers, which each connection sets
+  // itself.
   private static final Set<String> CONNECTION_HEADERS =
       Set.of(
           "connection",
@@ -29,20 +30,20 @@
   /**
    * Creates the rules.
    *
-   * @param reserved headers, in lower case, that are never passed on from a caller
+   * @param reserved lower-case names of headers that are never forwarded from a caller
    */
   HeaderRules(Set<String> reserved) {
     this.reserved = Set.copyOf(reserved);
   }
 
-  /** Returns what of a caller's headers is passed on to a runner. */
+  /** Returns the headers of a caller that are forwarded to a runner. */
   MultiMap forRunner(MultiMap headers) {
     MultiMap passed = withoutConnection(headers);
     reserved.forEach(passed::remove);
     return passed;
   }
 
-  /** Copies what of a runner's headers is passed on to the caller. */
+  /** Copies the headers of a runner that are forwarded to the caller. */
   void forCaller(MultiMap headers, MultiMap target) {
     target.addAll(withoutConnection(headers));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
@@ -15,29 +15,31 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes requests of callers, reads their bodies and begins an exchange for each.
+ * Receives requests of callers, reads their bodies and starts a {@link RequestExchange} for each.
  *
- * <p>Invariant: the bodies that are held at once stay within {@link #HELD_BYTES}. Confined to one
- * event loop.
+ * <p>Invariant: the request bodies in memory never exceed {@link #MAXIMUM_BUFFERED_BYTES} in total.
+ * Confined to one event loop.
  */
 final class IngressServer {
   private static final Logger LOGGER = LogManager.getLogger(IngressServer.class);
-  private static final long HELD_BYTES = 48L * 1_048_576; // a quarter of the usual heap
-  private static final long NO_CONFIGURATION_RETURN_MILLISECONDS = 300;
-  private static final long LEAVING_RETURN_MILLISECONDS = 20; // any other instance takes it now
+  private static final long MAXIMUM_BUFFERED_BYTES =
+      48L * 1_048_576; // A quarter of the usual heap.
+  private static final long NO_CONFIGURATION_RETRY_MILLISECONDS = 300;
+  private static final long LEAVING_RETRY_MILLISECONDS =
+      20; // Any other instance accepts the request immediately.
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
   private static final int BODY_TOO_LARGE = 413;
 
   private final ForwardingContext context;
-  private long heldBytes;
+  private long bufferedBytes;
   private int open;
 
   IngressServer(ForwardingContext context) {
     this.context = context;
   }
 
-  /** Returns the requests that are not answered yet. */
+  /** Returns the number of requests without a response. */
   int open() {
     return open;
   }
@@ -45,14 +47,14 @@
   void handle(HttpServerRequest request) {
     open++;
     request.response().endHandler(ended -> open--);
-    new BodyReading(request).start();
+    new BodyReader(request).start();
   }
 
   private IngressLimits limits() {
     return context.table().get().map(ForwardingTable::limits).orElse(IngressLimits.DEFAULTS);
   }
 
-  private void received(HttpServerRequest request, Buffer content, long arrivedAt) {
+  private void handleBody(HttpServerRequest request, Buffer content, long arrivedAt) {
     CallerResponse response = new CallerResponse(request, context.headers(), context.leaving());
     Optional<ForwardingTable> table = context.table().get();
     if (table.isEmpty()) {
@@ -104,25 +106,25 @@
   }
 
   private void refuse(HttpServerRequest request, CallerResponse response, RefusalReason reason) {
-    long middle =
+    long retryMilliseconds =
         reason == RefusalReason.SHUTTING_DOWN
-            ? LEAVING_RETURN_MILLISECONDS
-            : NO_CONFIGURATION_RETURN_MILLISECONDS;
+            ? LEAVING_RETRY_MILLISECONDS
+            : NO_CONFIGURATION_RETRY_MILLISECONDS;
     String id = context.dialect().callers().requestTerms(request.headers()).id();
     LOGGER.info("request={} outcome=refused_{}", id, reason);
     context.metrics().refused(reason.name());
-    response.refuse(reason, CallerResponse.spread(middle));
+    response.refuse(reason, CallerResponse.jittered(retryMilliseconds));
   }
 
-  /** Reads one body within the limits. */
-  private final class BodyReading {
+  /** Reads one request body within the limits. */
+  private final class BodyReader {
     private final HttpServerRequest request;
     private final long arrivedAt = context.delay().earliestArrival(MonotonicClock.milliseconds());
     private final Buffer content = Buffer.buffer();
-    private boolean over;
-    private long held;
+    private boolean done;
+    private long ownBytes;
 
-    BodyReading(HttpServerRequest request) {
+    BodyReader(HttpServerRequest request) {
       this.request = request;
     }
 
@@ -134,33 +136,33 @@
     }
 
     private void read(Buffer bytes) {
-      if (over) {
+      if (done) {
         return;
       }
       if (content.length() + bytes.length() > limits().bodyBytes()) {
-        giveUp(() -> response().reject(BODY_TOO_LARGE, "the body is larger than allowed"));
+        abort(() -> response().reject(BODY_TOO_LARGE, "the body is larger than allowed"));
         return;
       }
-      if (heldBytes + bytes.length() > HELD_BYTES) {
-        giveUp(() -> refuse(request, response(), RefusalReason.MEMORY));
+      if (bufferedBytes + bytes.length() > MAXIMUM_BUFFERED_BYTES) {
+        abort(() -> refuse(request, response(), RefusalReason.MEMORY));
         return;
       }
-      held += bytes.length();
-      heldBytes += bytes.length();
+      ownBytes += bytes.length();
+      bufferedBytes += bytes.length();
       content.appendBuffer(bytes);
     }
 
     private void complete() {
-      if (over) {
+      if (done) {
         return;
       }
-      over = true;
+      done = true;
       request.response().endHandler(ended -> finished());
-      received(request, content, arrivedAt);
+      handleBody(request, content, arrivedAt);
     }
 
-    private void giveUp(Runnable answer) {
-      over = true;
+    private void abort(Runnable answer) {
+      done = true;
       answer.run();
       release();
     }
@@ -171,8 +173,8 @@
     }
 
     private void release() {
-      heldBytes -= held;
-      held = 0;
+      bufferedBytes -= ownBytes;
+      ownBytes = 0;
     }
 
     private CallerResponse response() {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/MetricsServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/MetricsServer.java
@@ -8,7 +8,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Answers every request with the metrics. Confined to one event loop. */
+/** Serves the metrics for every request. Confined to one event loop. */
 final class MetricsServer implements Handler<HttpServerRequest> {
   private static final Logger LOGGER = LogManager.getLogger(MetricsServer.class);
   private static final int INTERNAL_ERROR = 500;
@@ -23,7 +23,10 @@
   @Override
   public void handle(HttpServerRequest request) {
     if (metrics == null) {
-      metrics = new MetricsText(registry); // its classes are not loaded before they are needed
+      metrics =
+          new MetricsText(
+              registry); // Created on the first request, so that its classes are loaded only when
+      // needed.
     }
     try {
       request.response().putHeader("Content-Type", MetricsText.CONTENT_TYPE).end(metrics.text());
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -39,11 +39,11 @@
   private static final Logger LOGGER = LogManager.getLogger(ModelPlanner.class);
   private static final long TICK_MILLISECONDS = 200; // A fraction of the shortest load time.
   private static final double CONCURRENT_LOADS_PER_RATE =
-      3; // Limit of the weight stores in the specification.
+      3; // Limit of the weight stores according to their data sheets.
   private static final long STATE_LOG_MILLISECONDS = 1_000;
   private static final int RUNNERS_PER_SECOND_OF_LOG = 20; // Large fleets are logged less often.
   private static final int CONCURRENT_ADAPTER_LOADS =
-      24; // Limit of the smaller weight store in the specification.
+      24; // Limit of the smaller weight store according to its data sheet.
   private static final double MAXIMUM_ADAPTER_MEGABYTES = 64;
 
   private final Vertx vertx;
@@ -152,8 +152,8 @@
   }
 
   /**
-   * Returns the lease grant. If this process was suspended, another instance may hold the lease by
-   * now, so the lease is checked again first.
+   * Returns the lease grant. Invalidates it first if this process was suspended, since another
+   * instance may hold the lease by now.
    */
   private Optional<LeaseGrant> verifiedGrant() {
     boolean wasSuspended =
@@ -340,7 +340,7 @@
   }
 
   /** Allows engine controllers to send orders while the grant is valid. */
-  private final class GrantedOrders implements EngineController.Orders {
+  private final class GrantedOrders implements EngineController.PlannerCallbacks {
     // A call in flight must arrive before the grant expires.
     private static final long CALL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(200);
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/MonotonicClock.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/MonotonicClock.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Monotonic time in milliseconds. Stateless. */
+/** Provides monotonic time in milliseconds. Stateless. */
 final class MonotonicClock {
   private MonotonicClock() {}
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
@@ -204,6 +204,7 @@
   }
 
   private static AgatefieldException unavailable() {
-    return new AgatefieldException(ErrorKind.INTERNAL, "the store does not answer here either");
+    return new AgatefieldException(
+        ErrorKind.INTERNAL, "the objects of this instance are unknown or stale");
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PeerInbox.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PeerInbox.java
@@ -73,6 +73,6 @@
       return planner.answer(query);
     }
     return CompletableFuture.failedFuture(
-        new AgatefieldException(ErrorKind.INTERNAL, "the request has no answer"));
+        new AgatefieldException(ErrorKind.INTERNAL, "unsupported request type"));
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PeriodicTasks.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PeriodicTasks.java
@@ -6,25 +6,25 @@
 import java.util.function.LongConsumer;
 
 /**
- * Runs what is to be done again and again, all by one timer, as each firing wakes the process.
+ * Runs periodic tasks on a single timer, since every timer firing wakes the process.
  *
- * <p>Invariant: a duty runs once in its period, rounded up to whole firings of the timer; firings
- * that were missed are not made up for. Confined to one event loop.
+ * <p>Invariant: a task runs once per period, rounded up to whole timer firings; missed firings are
+ * not made up for. Confined to one event loop.
  */
 final class PeriodicTasks {
   private final Vertx vertx;
   private final long timerMilliseconds;
   private final EventLoopDelay delay;
-  private final List<Duty> duties = new ArrayList<>();
+  private final List<Task> tasks = new ArrayList<>();
   private long firings;
 
-  private record Duty(long everyFirings, LongConsumer work) {}
+  private record Task(long firingsPerRun, LongConsumer action) {}
 
   /**
-   * Creates duties that do not run yet.
+   * Creates an instance without tasks; the timer is not set yet.
    *
-   * @param timerMilliseconds the time between two firings
-   * @param delay told of the firings
+   * @param timerMilliseconds the interval between two firings
+   * @param delay is notified of the firings
    */
   PeriodicTasks(Vertx vertx, long timerMilliseconds, EventLoopDelay delay) {
     this.vertx = vertx;
@@ -33,30 +33,30 @@
   }
 
   /**
-   * Adds a duty.
+   * Adds a task.
    *
    * @param milliseconds its period
-   * @param work is given the monotonic time in milliseconds
+   * @param action receives the monotonic time in milliseconds
    */
-  void every(long milliseconds, LongConsumer work) {
-    long firingsEach = (milliseconds + timerMilliseconds - 1) / timerMilliseconds;
-    duties.add(new Duty(Math.max(1, firingsEach), work));
+  void every(long milliseconds, LongConsumer action) {
+    long period = (milliseconds + timerMilliseconds - 1) / timerMilliseconds;
+    tasks.add(new Task(Math.max(1, period), action));
   }
 
-  /** Sets the timer for the first time. */
+  /** Schedules the next timer firing. */
   void start() {
-    delay.expectAt(MonotonicClock.milliseconds() + timerMilliseconds);
+    delay.timerScheduled(MonotonicClock.milliseconds() + timerMilliseconds);
     vertx.setTimer(timerMilliseconds, fired -> run());
   }
 
   private void run() {
     long now = MonotonicClock.milliseconds();
-    delay.fired(now);
+    delay.timerFired(now);
     start();
     firings++;
-    for (Duty duty : duties) {
-      if (firings % duty.everyFirings() == 0) {
-        duty.work().accept(now);
+    for (Task task : tasks) {
+      if (firings % task.firingsPerRun() == 0) {
+        task.action().accept(now);
       }
     }
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
@@ -186,7 +186,7 @@
     switch (change.change()) {
       case LOADED -> {
         presence.announceModel(change.runner(), change.model());
-        waiting.wake();
+        waiting.retryAll();
       }
       case DROPPING -> presence.withdrawModel(change.runner(), change.model(), now);
       case LOADING ->
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -34,8 +34,8 @@
  * avoids this and also limits accounts that flood many instances at once. A region's share is the
  * number of instances visible in the region divided by the highest recent number of instances in
  * the fleet, so that partitioned regions together stay within the quota. An instance that cannot
- * reach a holder grants from its own equal share, which starts to refill at that moment. Confined
- * to one event loop.
+ * reach a holder grants from its own equal share, which starts to refill {@link
+ * #LOCAL_SHARE_DELAY_MILLISECONDS} later. Confined to one event loop.
  */
 final class RegionalQuotaPolicy implements QuotaPolicy {
   /** Interval at which {@link #refresh} must be called. */
@@ -185,7 +185,7 @@
                     .ifPresent(
                         holder ->
                             fleet.send(holder, new PeerMessage.QuotaReturn(account, tokens))));
-    LOGGER.info("quotas handed over to {} instances", staying.size());
+    LOGGER.info("transferred quotas to the next holders among {} instances", staying.size());
   }
 
   @Override
@@ -237,7 +237,8 @@
     Optional<ClientAccount> account = account(request.account());
     if (account.isEmpty() || leaving) {
       return CompletableFuture.failedFuture(
-          new AgatefieldException(ErrorKind.INTERNAL, "the account's quota is not held here"));
+          new AgatefieldException(
+              ErrorKind.INTERNAL, "this instance does not hold the account's quota"));
     }
     long now = clock.getAsLong();
     if (request.loan()) {
@@ -359,7 +360,7 @@
       holders.update(fleet.answering());
       Optional<Instance> holder = holders.holder(account.name(), region());
       if (holder.isEmpty() || fleet.isIsolated()) {
-        failed("no other instance is heard");
+        failed("no other instance is reachable");
         return;
       }
       if (holder.get().id().equals(fleet.self().id())) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
@@ -105,7 +105,7 @@
       ObjectKind kind, boolean rateLimited, CompletableFuture<ObjectList> result) {
     if (rateLimited && !mayReadStore(kind)) {
       result.completeExceptionally(
-          new StoreException(StoreFailure.UNAVAILABLE, "no instance knows the objects"));
+          new StoreException(StoreFailure.UNAVAILABLE, "no relay has the objects"));
       return;
     }
     store
@@ -161,7 +161,8 @@
               if (answer instanceof PeerMessage.ObjectsAnswer objects) {
                 return objects;
               }
-              throw new StoreException(StoreFailure.UNAVAILABLE, "the answer holds no objects");
+              throw new StoreException(
+                  StoreFailure.UNAVAILABLE, "the response contains no objects");
             });
   }
 
@@ -218,7 +219,7 @@
         return;
       }
       close();
-      listener.ended(gone("other instances watch the store"));
+      listener.ended(gone("relay sources are available"));
     }
 
     @Override
@@ -230,7 +231,7 @@
       try {
         watch.close();
       } catch (Exception exception) {
-        LOGGER.warn("a watch of the store failed to close", exception);
+        LOGGER.warn("could not close a store watch", exception);
       }
     }
   }
@@ -255,7 +256,7 @@
       Optional<Instance> source =
           sources.get().stream().filter(each -> each.id().equals(sourceId)).findFirst();
       if (source.isEmpty()) {
-        end(sourceId + " is no source any more");
+        end(sourceId + " is no longer a relay source");
         return;
       }
       requestObjects(source.get(), kind, version, POLL_WAIT_MILLISECONDS)
@@ -267,7 +268,10 @@
         return;
       }
       if (failure != null || answer.whole()) {
-        end(failure == null ? "changes are not kept" : String.valueOf(failure.getMessage()));
+        end(
+            failure == null
+                ? "the relay no longer retains the changes"
+                : String.valueOf(failure.getMessage()));
         return;
       }
       for (PeerMessage.ObjectState state : answer.objects()) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
@@ -30,7 +30,7 @@
  *
  * <p>Confined to one event loop.
  */
-final class RequestExchange implements WaitingRequests.Waiting {
+final class RequestExchange implements WaitingRequests.WaitingRequest {
   private static final Logger LOGGER = LogManager.getLogger(RequestExchange.class);
   private static final long RESPONSE_MARGIN_MILLISECONDS =
       15; // Transfer time of the response to the caller.
@@ -360,10 +360,7 @@
     perform(state.chosen(runner.id()));
   }
 
-  /**
-   * Returns whether the API key that admitted the request is still valid in the current
-   * configuration.
-   */
+  /** Returns whether the API key that admitted the request is still valid. */
   private boolean isKeyValid() {
     ForwardingTable current = context.table().get().orElse(table);
     boolean needed = current.accounts().requiresKeys() && !route.open();
@@ -450,7 +447,7 @@
         refundQuota();
       }
       long returnIn = ReturnAdvice.milliseconds(refusal.reason(), retryAfter);
-      response.refuse(refusal.reason(), CallerResponse.spread(returnIn));
+      response.refuse(refusal.reason(), CallerResponse.jittered(returnIn));
       return "refused_" + refusal.reason();
     } else if (finalAction instanceof RequestAction.Fail failure) {
       response.fail(failure.reason());
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ResponseMemory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ResponseMemory.java
@@ -1,45 +1,45 @@
 package org.agatefield.daemon.forward;
 
 /**
- * Bounds the bytes of answers that are not whole yet, over all calls to runners.
+ * Limits the memory of incomplete responses across all calls to runners.
  *
- * <p>Answers the load of runners in trouble that send without end: their answers are given up
- * before they take the memory of the others, while answers of the usual size always find room.
- * Confined to one event loop.
+ * <p>Faulty runners may send endless responses; these are aborted before they use the memory of
+ * others, while responses of usual size always fit. Confined to one event loop.
  */
 final class ResponseMemory {
-  private static final int ANSWER_BYTES = 16 * 1_048_576; // far beyond any usual answer
-  private static final long TOTAL_BYTES = 24L * 1_048_576; // a seventh of the usual heap
-  private static final int USUAL_ANSWER_BYTES = 256 * 1_024;
+  private static final int MAXIMUM_RESPONSE_BYTES =
+      16 * 1_048_576; // Far larger than any usual response.
+  private static final long MAXIMUM_TOTAL_BYTES = 24L * 1_048_576; // A seventh of the usual heap.
+  private static final int USUAL_RESPONSE_BYTES = 256 * 1_024;
 
-  private long held;
+  private long total;
 
-  /** The bytes that one call holds. */
+  /** The bytes held by one call. */
   final class Share {
     private int bytes;
 
-    /** Counts the bytes that the call holds now; returns whether it may hold as many. */
-    boolean hold(int holds) {
-      held += holds - bytes;
-      bytes = holds;
-      boolean fits = held <= TOTAL_BYTES || holds <= USUAL_ANSWER_BYTES;
-      return fits && holds <= ANSWER_BYTES;
+    /** Sets the bytes that the call holds; returns whether they are within the limits. */
+    boolean reserve(int requiredBytes) {
+      total += requiredBytes - bytes;
+      bytes = requiredBytes;
+      boolean fits = total <= MAXIMUM_TOTAL_BYTES || requiredBytes <= USUAL_RESPONSE_BYTES;
+      return fits && requiredBytes <= MAXIMUM_RESPONSE_BYTES;
     }
 
-    /** Gives back what was counted. */
+    /** Releases the bytes of the call. */
     void release() {
-      held -= bytes;
+      total -= bytes;
       bytes = 0;
     }
   }
 
-  /** Returns a share that holds nothing yet. */
+  /** Returns a share that holds no bytes yet. */
   Share share() {
     return new Share();
   }
 
-  /** Returns the bytes that all calls hold. */
-  long heldBytes() {
-    return held;
+  /** Returns the bytes held by all calls. */
+  long totalBytes() {
+    return total;
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ResponseStartTimeout.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ResponseStartTimeout.java
@@ -3,12 +3,12 @@
 import org.agatefield.forwarding.Route;
 import org.agatefield.forwarding.RouteKind;
 
-/** How long callers wait for an answer to begin before they leave. Stateless. */
+/** Computes how long callers wait for a response to start before they disconnect. Stateless. */
 final class ResponseStartTimeout {
-  // The users' pages: the longest of two seconds, four objectives and eight gap objectives.
-  private static final long SHORTEST_MILLISECONDS = 2_000;
-  private static final long OBJECTIVES = 4;
-  private static final long GAP_OBJECTIVES = 8;
+  // Per the specification, the longest of two seconds, four objectives and eight gap objectives.
+  private static final long MINIMUM_MILLISECONDS = 2_000;
+  private static final long OBJECTIVE_MULTIPLE = 4;
+  private static final long GAP_OBJECTIVE_MULTIPLE = 8;
 
   private ResponseStartTimeout() {}
 
@@ -16,8 +16,8 @@
     if (route.kind() != RouteKind.STREAM) {
       return route.timeoutMilliseconds();
     }
-    long objectives = OBJECTIVES * route.objectiveMilliseconds();
-    long gaps = GAP_OBJECTIVES * route.gapObjectiveMilliseconds();
-    return Math.max(SHORTEST_MILLISECONDS, Math.max(objectives, gaps));
+    long objectives = OBJECTIVE_MULTIPLE * route.objectiveMilliseconds();
+    long gaps = GAP_OBJECTIVE_MULTIPLE * route.gapObjectiveMilliseconds();
+    return Math.max(MINIMUM_MILLISECONDS, Math.max(objectives, gaps));
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RetryBudgets.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RetryBudgets.java
@@ -7,15 +7,15 @@
 import org.agatefield.settings.ForwardingSettings;
 
 /**
- * The retry budgets of all services, as far as this instance may use them.
+ * Manages this instance's share of the retry budgets of all services.
  *
- * <p>The reserve is divided by the most instances that were seen alive lately, so that the
- * instances together keep to it also while they do not see each other. Confined to one event loop.
+ * <p>The reserve is divided by the highest recent number of live instances, so that all instances
+ * together stay within it even during a partition. Confined to one event loop.
  */
 final class RetryBudgets {
   private static final double SHARE_USED =
-      0.85; // requests that never reach an instance don't count
-  private static final double RESERVE_USED = 0.8; // a restarted instance starts with a full part
+      0.85; // Requests that never reach an instance do not count.
+  private static final double RESERVE_USED = 0.8; // A restarted instance starts with a full share.
 
   private final ForwardingSettings.Terms terms;
   private final FleetSize fleet;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -88,29 +88,29 @@
     backoffs.remove(runner);
   }
 
-  private void recordLeaving(String runner, long born, long since) {
+  private void recordLeaving(String runner, long processStart, long since) {
     Leaving previous = leaving.get(runner);
-    if (previous != null && previous.bornMilliseconds() >= born) {
+    if (previous != null && previous.bornMilliseconds() >= processStart) {
       return;
     }
-    leaving.put(runner, new Leaving(born, since));
+    leaving.put(runner, new Leaving(processStart, since));
     LOGGER.info(
         "runner={} born={} says=leaving age_ms={}",
         runner,
-        born,
+        processStart,
         MonotonicClock.milliseconds() - since);
   }
 
-  private void recordBackoff(String runner, long born, long until) {
+  private void recordBackoff(String runner, long processStart, long until) {
     Backoff previous = backoffs.get(runner);
     boolean longer =
         previous != null
-            && previous.bornMilliseconds() == born
+            && previous.bornMilliseconds() == processStart
             && previous.untilMilliseconds() >= until;
     if (longer) {
       return;
     }
-    backoffs.put(runner, new Backoff(born, until));
+    backoffs.put(runner, new Backoff(processStart, until));
     LOGGER.info("runner={} says=quiet for_ms={}", runner, until - MonotonicClock.milliseconds());
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerClient.java
@@ -14,43 +14,45 @@
 /**
  * Sends orders to runners and reads their reports.
  *
- * <p>Every call names the runner that it is meant for, since addresses are used again. Futures
- * complete on the event loop that calls; confined to one.
+ * <p>Every call names the runner it is meant for, since addresses are reused. Futures complete on
+ * the calling event loop. Confined to one event loop.
  */
 final class RunnerClient {
-  private static final long CALL_MILLISECONDS = 350; // five times the way to the other region
-  private static final long WHOLE_CALL_MILLISECONDS = 2 * CALL_MILLISECONDS; // bytes may drip
-  private static final int MAXIMUM_ANSWER_BYTES = 1_048_576; // a report of a thousand runs
+  private static final long RESPONSE_TIMEOUT_MILLISECONDS =
+      350; // Five times the latency to the other region.
+  private static final long CALL_TIMEOUT_MILLISECONDS =
+      2 * RESPONSE_TIMEOUT_MILLISECONDS; // Also covers responses that arrive in small pieces.
+  private static final int MAXIMUM_RESPONSE_BYTES = 1_048_576; // A report of a thousand runs.
 
   private final HttpClient client;
   private final RunnerDialect dialect;
 
-  /** What a runner answered. Immutable. */
-  record Answer(int status, Buffer body) {}
+  /** The response of a runner. Immutable. */
+  record Response(int status, Buffer body) {}
 
   RunnerClient(HttpClient client, RunnerDialect dialect) {
     this.client = client;
     this.dialect = dialect;
   }
 
-  CompletableFuture<Answer> order(RunnerEntry runner, Buffer order) {
-    return call(runner, HttpMethod.POST, dialect.orderPath(), order);
+  CompletableFuture<Response> sendOrder(RunnerEntry runner, Buffer sendOrder) {
+    return call(runner, HttpMethod.POST, dialect.orderPath(), sendOrder);
   }
 
-  CompletableFuture<Answer> report(RunnerEntry runner) {
+  CompletableFuture<Response> fetchReport(RunnerEntry runner) {
     return call(runner, HttpMethod.GET, dialect.reportPath(), Buffer.buffer());
   }
 
-  private CompletableFuture<Answer> call(
+  private CompletableFuture<Response> call(
       RunnerEntry runner, HttpMethod method, String path, Buffer content) {
-    CompletableFuture<Answer> result = new CompletableFuture<>();
+    CompletableFuture<Response> result = new CompletableFuture<>();
     RequestOptions options =
         new RequestOptions()
             .setMethod(method)
             .setHost(runner.address().host())
             .setPort(runner.address().port())
             .setURI(path)
-            .setTimeout(CALL_MILLISECONDS)
+            .setTimeout(RESPONSE_TIMEOUT_MILLISECONDS)
             .putHeader("Content-Type", "application/json")
             .putHeader(dialect.expectedRunnerHeader(), runner.id());
     client
@@ -61,9 +63,9 @@
                     .send(content)
                     .compose(
                         response ->
-                            BoundedBody.read(response, MAXIMUM_ANSWER_BYTES)
-                                .map(body -> new Answer(response.statusCode(), body)))
-                    .timeout(WHOLE_CALL_MILLISECONDS, TimeUnit.MILLISECONDS)
+                            BoundedBody.read(response, MAXIMUM_RESPONSE_BYTES)
+                                .map(body -> new Response(response.statusCode(), body)))
+                    .timeout(CALL_TIMEOUT_MILLISECONDS, TimeUnit.MILLISECONDS)
                     .onFailure(cause -> request.reset()))
         .onSuccess(result::complete)
         .onFailure(result::completeExceptionally);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -16,16 +16,17 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The runners that may get requests, from their entries in the store.
+ * Tracks the runners that may receive requests, from their entries in the store.
  *
- * <p>Invariants: a runner whose entry says that it leaves, or is deleted while the store answers,
- * gets no further request; entries that lapsed while the store was away stay usable until {@link
- * #RETURN_MILLISECONDS} after its return, since runners that live write them again in that time.
- * Confined to one event loop.
+ * <p>Invariants: a runner whose entry is draining, or is deleted while the store responds, receives
+ * no further request; entries that expired while the store was unavailable remain usable until
+ * {@link #RETURN_MILLISECONDS} after its return, since live runners rewrite their entries within
+ * that time. Confined to one event loop.
  */
 final class RunnerDirectory implements InformerListener {
   /**
-   * How long after the store's return a lapsed entry may come back; a runner writes each second.
+   * How long after the store's return an expired entry may be rewritten; a runner writes its entry
+   * every second.
    */
   static final long RETURN_MILLISECONDS = 2_200;
 
@@ -41,12 +42,12 @@
   private long storeReturnedAt = Long.MIN_VALUE / 2;
   private long confirmedAt = Long.MIN_VALUE / 2;
 
-  /** Told of changes on the event loop. */
+  /** Receives changes on the event loop. */
   interface Listener {
-    /** An entry changed or was added. */
+    /** Called when an entry was added or changed. */
     void runnerChanged(RunnerEntry entry, boolean newProcess);
 
-    /** A runner is gone. */
+    /** Called when a runner was removed. */
     void runnerGone(String id);
   }
 
@@ -97,7 +98,7 @@
     remove(key.name(), "deleted");
   }
 
-  /** Drops the runners whose entries have not come back in time. */
+  /** Removes runners whose expired entries were not rewritten in time. */
   void dropLapsed(long now) {
     if (lapsedAt.isEmpty() || !storeAvailable || now - storeReturnedAt < RETURN_MILLISECONDS) {
       return;
@@ -107,7 +108,7 @@
     gone.forEach(id -> remove(id, "lapsed"));
   }
 
-  /** Takes entries from another instance, for runners that nothing is known of yet. */
+  /** Adds the entry of another instance if the runner is unknown. */
   void addFromPeer(String id, JsonNode content, long ageMilliseconds) {
     if (!entries.containsKey(id)) {
       LOGGER.info("runner={} source=peer age_ms={}", id, ageMilliseconds);
@@ -123,9 +124,9 @@
     return entries.values();
   }
 
-  /** Returns the runners of a service that take new work. */
+  /** Returns the runners of a service that accept new requests. */
   List<RunnerEntry> usable(String service) {
-    // Every request asks, entries change rarely.
+    // Cached because every request needs the list while entries rarely change.
     return usableByService.computeIfAbsent(
         service,
         wanted ->
@@ -134,7 +135,7 @@
                 .toList());
   }
 
-  /** Returns the entries as they lie in the store, by the runners' identifiers. */
+  /** Returns the entries as stored, by runner identifier. */
   Map<String, JsonNode> contents() {
     return contents;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/SuspensionDetector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/SuspensionDetector.java
@@ -1,28 +1,29 @@
 package org.agatefield.daemon.forward;
 
 /**
- * Notices that this process stood still while the rest of the world went on.
+ * Detects that this process was suspended.
  *
- * <p>The monotonic clock does not count the time of a suspended machine, the time of day does. A
- * step of the time of day looks the same; it costs one read of the lease. Confined to one thread.
+ * <p>The monotonic clock does not count the time of a suspended machine, the wall clock does. A
+ * step of the wall clock looks the same; it costs one read of the lease. Confined to one thread.
  */
 final class SuspensionDetector {
-  private static final long TOLERANCE_MILLISECONDS = 250; // clocks are read at slightly other times
+  private static final long TOLERANCE_MILLISECONDS =
+      250; // The two clocks are not read at exactly the same time.
 
-  private long monotonic;
-  private long wall;
+  private long lastMonotonic;
+  private long lastWall;
 
-  /** Creates a detector that has seen the clocks at these readings. */
+  /** Creates a detector with the current clock readings. */
   SuspensionDetector(long monotonicMilliseconds, long wallMilliseconds) {
-    this.monotonic = monotonicMilliseconds;
-    this.wall = wallMilliseconds;
+    this.lastMonotonic = monotonicMilliseconds;
+    this.lastWall = wallMilliseconds;
   }
 
-  /** Returns whether the clocks went apart since the call before. */
+  /** Returns whether the clocks have diverged since the previous call. */
   boolean wasSuspended(long monotonicMilliseconds, long wallMilliseconds) {
-    long apart = (wallMilliseconds - wall) - (monotonicMilliseconds - monotonic);
-    monotonic = monotonicMilliseconds;
-    wall = wallMilliseconds;
-    return Math.abs(apart) > TOLERANCE_MILLISECONDS;
+    long divergence = (wallMilliseconds - lastWall) - (monotonicMilliseconds - lastMonotonic);
+    lastMonotonic = monotonicMilliseconds;
+    lastWall = wallMilliseconds;
+    return Math.abs(divergence) > TOLERANCE_MILLISECONDS;
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
@@ -18,20 +18,19 @@
 import org.agatefield.forwarding.RunnerEntry;
 
 /**
- * One attempt of a request at one runner, on a connection of its own.
+ * Performs one attempt of a request at one runner, on a dedicated connection.
  *
  * <p>Invariants: exactly one of {@link Listener#withdrawn}, {@link Listener#connectFailed}, {@link
  * Listener#rejected}, {@link Listener#failed}, {@link Listener#responseReceived} and {@link
  * Listener#streamEnded} is called, unless the call is cancelled first; nothing is called after that
- * or after {@link #cancel()}. A request is sent only after the sockets were read once more since
- * its connection opened, so that a caller who has left meanwhile is noticed. Confined to one event
- * loop.
+ * or after {@link #cancel()}. After the connection opens, sockets are read once more before the
+ * request is sent, so that a disconnect of the caller is noticed. Confined to one event loop.
  */
 final class UpstreamCall {
   private static final String EVENT_STREAM = "text/event-stream";
-  private static final int MOST_INTERIM_ANSWERS = 8; // one is usual
+  private static final int MAXIMUM_INTERIM_RESPONSES = 8; // Usually there is one.
 
-  private static final long NEXT_TURN_MILLISECONDS = 1; // a timer fires after sockets were read
+  private static final long NEXT_TURN_MILLISECONDS = 1; // Timers fire after sockets have been read.
 
   private final Vertx vertx;
   private final EventLoopDelay delay;
@@ -42,39 +41,42 @@
   private final EventStreamSplitter splitter = new EventStreamSplitter();
   private final Buffer body = Buffer.buffer();
   private HttpClientRequest request;
-  private boolean over;
-  private int interimAnswers;
+  private boolean finished;
+  private int interimResponses;
   private UpstreamResponse head;
   private boolean stream;
   private ResponseKind kind = ResponseKind.UNUSABLE;
 
-  /** Told what comes of the call, on the event loop. */
+  /** Receives the outcome of the call on the event loop. */
   interface Listener {
-    /** Returns whether the request is still to be sent, now that a connection is open. */
+    /** Returns whether the request should still be sent now that the connection is open. */
     boolean shouldSend();
 
-    /** Nothing was sent, as the request was not wanted any more when a connection was open. */
+    /**
+     * Called when the request was not sent because it was no longer needed when the connection
+     * opened.
+     */
     void withdrawn();
 
-    /** No connection came about. */
+    /** Called when no connection could be opened. */
     void connectFailed(String cause);
 
-    /** The head of an answer came, whatever it answers. */
+    /** Called with the response head, whatever its status. */
     void headReceived(UpstreamResponse head);
 
-    /** The runner did not run the request and never will. */
+    /** Called when the runner has not run the request and never will. */
     void rejected(ResponseKind kind, UpstreamResponse answer);
 
-    /** The request may have run; the answer is there if it can be passed on. */
+    /** Called when the request may have run; the response is present if it can be forwarded. */
     void failed(String cause, Optional<UpstreamResponse> answer);
 
-    /** A whole answer with success came. */
+    /** Called with a complete successful response. */
     void responseReceived(UpstreamResponse answer);
 
-    /** A whole event of a stream came. */
+    /** Called with a complete event of a stream. */
     void eventReceived(UpstreamResponse head, EventStreamSplitter.Event event);
 
-    /** A stream ended as the protocol says. */
+    /** Called when a stream has ended as the protocol requires. */
     void streamEnded(UpstreamResponse head);
   }
 
@@ -96,7 +98,7 @@
   /**
    * Opens a connection and sends the request.
    *
-   * @param headers asked for when the request is sent, as they tell the time that is left
+   * @param headers evaluated when the request is sent, as they include the remaining time
    */
   void start(
       HttpClient client,
@@ -122,7 +124,7 @@
             });
   }
 
-  /** Makes the runner stop by closing the connection. */
+  /** Closes the connection, which makes the runner stop. */
   void cancel() {
     end();
     if (request != null) {
@@ -143,7 +145,7 @@
   }
 
   private void send(HttpClientRequest opened, Supplier<MultiMap> headers, Buffer content) {
-    if (over) {
+    if (finished) {
       opened.reset();
       return;
     }
@@ -154,27 +156,27 @@
       return;
     }
     opened.headers().setAll(headers.get());
-    opened.exceptionHandler(this::broken);
+    opened.exceptionHandler(this::abort);
     opened.continueHandler(interim -> interim());
     opened.earlyHintsHandler(interim -> interim());
-    opened.response().onSuccess(this::receive).onFailure(this::broken);
-    opened.end(content).onFailure(this::broken);
+    opened.response().onSuccess(this::receive).onFailure(this::abort);
+    opened.end(content).onFailure(this::abort);
   }
 
   private void receive(HttpClientResponse response) {
-    if (over) {
+    if (finished) {
       return;
     }
-    response.exceptionHandler(this::broken);
+    response.exceptionHandler(this::abort);
     head = new UpstreamResponse(response.statusCode(), response.headers(), body);
     kind = dialect.responseKind(response.statusCode(), response.headers(), requestId);
     listener.headReceived(head);
     if (kind == ResponseKind.UNUSABLE) {
-      unusable(response);
+      failUnusable(response);
       return;
     }
     if (kind == ResponseKind.REJECTED || kind == ResponseKind.MISDIRECTED) {
-      reject(); // the head says all; a body may have no end
+      reject(); // The head suffices; the body may be endless.
       return;
     }
     String contentType = response.getHeader("Content-Type");
@@ -186,10 +188,10 @@
     response.endHandler(ended -> complete());
   }
 
-  private void unusable(HttpClientResponse response) {
+  private void failUnusable(HttpClientResponse response) {
     if (end()) {
       request.reset();
-      listener.failed("unusable answer status=" + response.statusCode(), Optional.empty());
+      listener.failed("unusable response status=" + response.statusCode(), Optional.empty());
     }
   }
 
@@ -201,33 +203,33 @@
   }
 
   private void read(Buffer bytes) {
-    if (over) {
+    if (finished) {
       return;
     }
     if (stream) {
       for (EventStreamSplitter.Event event : splitter.feed(bytes.getBytes())) {
-        if (!over) {
+        if (!finished) {
           listener.eventReceived(head, event);
         }
       }
-      hold(splitter.remainingBytes());
+      checkMemory(splitter.remainingBytes());
       return;
     }
     body.appendBuffer(bytes);
-    hold(body.length());
+    checkMemory(body.length());
   }
 
   private void interim() {
-    interimAnswers++;
-    if (interimAnswers > MOST_INTERIM_ANSWERS) {
-      broken(new IOException("too many interim answers"));
+    interimResponses++;
+    if (interimResponses > MAXIMUM_INTERIM_RESPONSES) {
+      abort(new IOException("too many interim responses"));
     }
   }
 
-  /** Gives an answer up that grows beyond the memory that there is for it. */
-  private void hold(int bytes) {
-    if (!over && !memory.hold(bytes)) {
-      broken(new IOException("answer too large"));
+  /** Fails the call if its response exceeds the available memory. */
+  private void checkMemory(int bytes) {
+    if (!finished && !memory.reserve(bytes)) {
+      abort(new IOException("response too large"));
     }
   }
 
@@ -252,17 +254,17 @@
     }
   }
 
-  private void broken(Throwable cause) {
+  private void abort(Throwable cause) {
     if (!end()) {
       return;
     }
     request.reset();
-    listener.failed("broken off: " + cause.getMessage(), Optional.empty());
+    listener.failed("aborted: " + cause.getMessage(), Optional.empty());
   }
 
   private boolean end() {
-    boolean first = !over;
-    over = true;
+    boolean first = !finished;
+    finished = true;
     memory.release();
     return first;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamResponse.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamResponse.java
@@ -4,10 +4,10 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * A runner's answer. Immutable as long as nobody changes its parts.
+ * A response of a runner. Immutable as long as its headers and body are not modified.
  *
  * @param status the HTTP status
- * @param headers the headers as they came
- * @param body the whole body; empty for a stream
+ * @param headers the headers as received
+ * @param body the complete body; empty for a stream
  */
 record UpstreamResponse(int status, MultiMap headers, Buffer body) {}
--- a/daemon/src/main/java/org/agatefield/daemon/forward/WaitingRequests.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/WaitingRequests.java
@@ -6,27 +6,27 @@
 import java.util.List;
 
 /**
- * Requests that wait until a runner can take them, the most urgent first.
+ * Holds requests that wait for a runner with capacity, most urgent first.
  *
- * <p>They are tried again when something changed, and in short intervals while any wait. Confined
+ * <p>Requests are retried when conditions change, and at short intervals while any wait. Confined
  * to one event loop.
  */
 final class WaitingRequests {
-  private static final long RETRY_MILLISECONDS = 60; // well below the shortest objective
+  private static final long RETRY_MILLISECONDS = 60; // Well below the shortest objective.
 
   private final Vertx vertx;
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<WaitingRequest> waiting = new ArrayList<>();
   private boolean scheduled;
 
-  /** A request that waits. */
-  interface Waiting {
-    /** Lower is more urgent. */
+  /** A waiting request. */
+  interface WaitingRequest {
+    /** The priority; lower values are more urgent. */
     int priority();
 
-    /** When it must be answered, in monotonic milliseconds. */
+    /** The time by which the request must be answered, in monotonic milliseconds. */
     long deadline();
 
-    /** Looks for a runner again; the request waits no more unless it asks to. */
+    /** Selects a runner again; the request is no longer waiting unless it registers again. */
     void retry();
   }
 
@@ -34,12 +34,12 @@
     this.vertx = vertx;
   }
 
-  void add(Waiting request) {
+  void add(WaitingRequest request) {
     waiting.add(request);
     schedule();
   }
 
-  void remove(Waiting request) {
+  void remove(WaitingRequest request) {
     waiting.remove(request);
   }
 
@@ -47,15 +47,17 @@
     return waiting.size();
   }
 
-  /** Lets all that wait try again. */
-  void wake() {
+  /** Retries all waiting requests. */
+  void retryAll() {
     if (waiting.isEmpty()) {
       return;
     }
-    List<Waiting> woken = new ArrayList<>(waiting);
+    List<WaitingRequest> retried = new ArrayList<>(waiting);
     waiting.clear();
-    woken.sort(Comparator.comparingInt(Waiting::priority).thenComparingLong(Waiting::deadline));
-    woken.forEach(Waiting::retry);
+    retried.sort(
+        Comparator.comparingInt(WaitingRequest::priority)
+            .thenComparingLong(WaitingRequest::deadline));
+    retried.forEach(WaitingRequest::retry);
   }
 
   private void schedule() {
@@ -67,7 +69,7 @@
         RETRY_MILLISECONDS,
         fired -> {
           scheduled = false;
-          wake();
+          retryAll();
         });
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The forwarding daemon: passes requests on unchanged and places models on runners.
+ * Forwards requests to runners unchanged and places models on runners.
  *
- * <p>All state is confined to one event loop, but for what peers exchange.
+ * <p>All state is confined to one event loop, except for membership and messages between peers.
  */
 package org.agatefield.daemon.forward;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
@@ -8,34 +8,37 @@
 import org.agatefield.forwarding.RequestTerms;
 import org.agatefield.model.Address;
 
-/** How callers and the platform's checks talk to an instance. Stateless. */
+/** Defines how callers and the platform's checks communicate with an instance. Stateless. */
 public interface CallerDialect {
-  /** Returns the path that answers whether the instance takes requests. */
+  /** Returns the path of the readiness check. */
   String readinessPath();
 
-  /** Returns the path that answers which instances to use. */
+  /** Returns the path of the entry directory. */
   String directoryPath();
 
-  /** Reads where an asking caller lies. */
+  /** Reads the location of a caller from its query parameters. */
   CallerLocation callerLocation(MultiMap parameters);
 
-  /** Writes the answer to which instances to use. */
+  /** Encodes the directory response. */
   Buffer directoryAnswer(List<Address> addresses, Duration timeToLive);
 
-  /** Reads what a request's headers say; absent parts are empty. */
+  /** Reads the terms in a request's headers; missing ones are empty. */
   RequestTerms requestTerms(MultiMap headers);
 
-  /** Returns the name of the header that carries a client's key. */
+  /** Returns the name of the header that carries a client's API key. */
   String keyHeader();
 
-  /** Returns headers, in lower case, that only this system may set and never passes on. */
+  /**
+   * Returns the lower-case names of headers that only this system may set and that are never
+   * forwarded.
+   */
   Set<String> reservedHeaders();
 
   /**
-   * Where a caller lies. Immutable.
+   * The location of a caller. Immutable.
    *
-   * @param region empty text if it did not say
-   * @param failureDomain empty text if it did not say
+   * @param region empty if not given
+   * @param failureDomain empty if not given
    */
   record CallerLocation(String region, String failureDomain) {}
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/OrderOutcome.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/OrderOutcome.java
@@ -1,17 +1,17 @@
 package org.agatefield.daemon.forward.wire;
 
-/** What a runner did with an order. */
+/** The outcome of an order at a runner. */
 public enum OrderOutcome {
-  /** It is being carried out. */
+  /** The runner is executing the order. */
   ACCEPTED,
-  /** It is fulfilled already. */
+  /** The runner is already in the ordered state. */
   FULFILLED,
-  /** Another order is under way, or the count of orders differs. */
+  /** Another order is in progress, or the count of orders differs. */
   CONFLICT,
-  /** A newer holder has given orders. */
+  /** A newer lease holder has sent orders. */
   FENCED,
-  /** The runner is another one, or does not know what is meant. */
+  /** The order reached another runner, or its model or adapter is unknown. */
   INVALID,
-  /** It may or may not be carried out, now or later. */
+  /** The order may or may not be executed, now or later. */
   UNKNOWN
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
@@ -3,12 +3,12 @@
 import org.agatefield.store.StoreDialect;
 
 /**
- * Everything that a platform spells in its own way. Immutable.
+ * Groups the platform-specific encodings. Immutable.
  *
- * @param callers talks to callers
- * @param runners talks to runners
- * @param storedObjects reads what lies in the store
- * @param store talks to the store
+ * @param callers encodes communication with callers
+ * @param runners encodes communication with runners
+ * @param storedObjects decodes stored objects
+ * @param store encodes calls of the store
  */
 public record PlatformDialect(
     CallerDialect callers,
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/ResponseKind.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/ResponseKind.java
@@ -1,15 +1,18 @@
 package org.agatefield.daemon.forward.wire;
 
-/** What a runner's answer says about the request. */
+/** Classifies a runner's response to a request. */
 public enum ResponseKind {
-  /** It ran and succeeded. */
+  /** The request ran and succeeded. */
   SUCCESS,
-  /** It ran and failed; the answer may be passed on as it is. */
+  /** The request ran and failed; the response may be forwarded unchanged. */
   FAILURE,
-  /** It did not run and never will, since the runner has no room or time for it. */
+  /** The request has not run and never will, because the runner lacks capacity or time. */
   REJECTED,
-  /** It did not run and never will: another runner is meant, or the model is not there. */
+  /**
+   * The request has not run and never will: it was meant for another runner, or the model is
+   * missing.
+   */
   MISDIRECTED,
-  /** The bytes are no answer to this request; it may have run. */
+  /** The bytes are not a response to this request, which may have run. */
   UNUSABLE
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
@@ -6,35 +6,38 @@
 import java.util.OptionalLong;
 import org.agatefield.forwarding.RunnerReport;
 
-/** How runners are asked for work, told what to hold, and asked for their state. Stateless. */
+/** Defines how requests, orders and reports are exchanged with runners. Stateless. */
 public interface RunnerDialect {
-  /** Writes what this system adds to a request that it passes on. */
+  /** Adds this system's headers to a forwarded request. */
   void writeTerms(SendTerms terms, MultiMap headers);
 
-  /** Reads what kind of answer came to a request. */
+  /** Classifies the response to a request. */
   ResponseKind responseKind(int status, MultiMap headers, String requestId);
 
-  /** Returns whether an answer says that its runner is about to end. */
+  /** Returns whether a response announces that its runner is leaving. */
   boolean isLeaving(MultiMap headers);
 
-  /** Returns for how long a runner that turned a request away wants nothing more; empty if not. */
+  /**
+   * Returns how long a runner that rejected a request wants no more requests; empty if it does not
+   * say.
+   */
   OptionalLong backoffMilliseconds(int status, MultiMap headers);
 
-  /** Returns the path that takes orders. */
+  /** Returns the path that accepts orders. */
   String orderPath();
 
-  /** Writes an order. */
+  /** Encodes an order. */
   Buffer encodeOrder(RunnerOrder order);
 
-  /** Reads the outcome of an order. */
+  /** Decodes the outcome of an order. */
   OrderOutcome orderOutcome(int status);
 
-  /** Returns the name of the header that makes any other runner turn a call away. */
+  /** Returns the name of the header that makes any other runner reject the call. */
   String expectedRunnerHeader();
 
-  /** Returns the path that tells a runner's state. */
+  /** Returns the path of the runner's state report. */
   String reportPath();
 
-  /** Reads a runner's state; empty if the body is none. */
+  /** Decodes a runner's state report; empty if the body is not a report. */
   Optional<RunnerReport> decodeReport(Buffer body);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerOrder.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerOrder.java
@@ -5,10 +5,10 @@
 /**
  * An order to a model runner. Immutable.
  *
- * @param action what to do
+ * @param action the action to execute
  * @param model the model's name
- * @param adapter the adapter of that model that is meant; empty for the model itself
- * @param holder who gives the order
+ * @param adapter the adapter of the model that the order applies to; empty for the model itself
+ * @param holder the lease holder that sends the order
  * @param fencingToken the holder's token
  * @param acceptedOrders how many orders the runner is expected to have accepted before
  */
@@ -19,11 +19,11 @@
     String holder,
     long fencingToken,
     long acceptedOrders) {
-  /** What a runner can be told to do. */
+  /** The actions that can be ordered. */
   public enum Action {
-    /** Take a model or an adapter into memory. */
+    /** Load a model or an adapter into memory. */
     LOAD,
-    /** Drop a model or an adapter once its requests are done. */
+    /** Unload a model or an adapter once its requests are complete. */
     UNLOAD
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/StoredObjectDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/StoredObjectDialect.java
@@ -5,14 +5,14 @@
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerEntry;
 
-/** How the store spells the operator's configuration and the runners' entries. Stateless. */
+/** Decodes the operator's configuration and the runner entries from stored objects. Stateless. */
 public interface StoredObjectDialect {
-  /** Returns the name of the object that holds the configuration. */
+  /** Returns the name of the stored object with the configuration. */
   String configurationName();
 
-  /** Reads a configuration; empty if it is none. */
+  /** Decodes a configuration; empty if the content is invalid. */
   Optional<ForwardingTable> decodeTable(JsonNode content);
 
-  /** Reads a runner's entry; empty if it names no runner to use. */
+  /** Decodes a runner entry; empty if it describes no usable runner. */
   Optional<RunnerEntry> decodeRunner(String id, JsonNode content);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/package-info.java
@@ -1,2 +1,2 @@
-/** What a platform's dialect has to say, so that nothing else knows how it spells its messages. */
+/** Defines the platform-specific encodings, so that all other code is independent of them. */
 package org.agatefield.daemon.forward.wire;
--- a/daemon/src/test/java/org/agatefield/daemon/forward/AdapterSlotsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/AdapterSlotsTest.java
@@ -14,7 +14,7 @@
   private final AdapterSlots slots = new AdapterSlots();
 
   @Test
-  void anAdapterThatWasToldToGoKeepsItsPlaceUntilItIsGone() {
+  void evictedAdapterOccupiesItsSlotUntilItIsRemoved() {
     slots.loaded("m/a1", 0);
     assertEquals(Optional.of("m/a1"), slots.evict(LATER));
     assertEquals(1, slots.used());
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void anAdapterThatIsLeavingIsNotOffered() {
+  void adapterBeingUnloadedIsNotUsable() {
     slots.loaded("m/a1", 0);
     slots.evict(LATER);
     assertFalse(slots.touch("m/a1", LATER));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void anAdapterUsedLatelyStays() {
+  void recentlyUsedAdapterIsNotEvicted() {
     slots.loaded("m/a1", 0);
     slots.loaded("m/a2", 0);
     slots.touch("m/a1", LATER);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void whatTheRunnerReportsTakesPlaceAndWhatItLacksDoesNot() {
+  void reportedAdaptersOccupySlotsAndUnreportedOnesDoNot() {
     slots.loaded("m/a1", 0);
     slots.reported(Set.of("m/a2", "n/a1"));
     assertEquals(2, slots.used());
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -33,11 +33,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A runner over sockets whose answers and reports are late. */
+/** Uses a runner on real sockets that answers orders late and reports old state. */
 class EngineControllerTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final long SLOW_ANSWER_MILLISECONDS = 300;
-  private static final long REPORT_AGE_MILLISECONDS = 250; // some hundred, by the pages
+  private static final long REPORT_AGE_MILLISECONDS =
+      250; // Per the specification, reports are some hundred milliseconds old.
   private static final int ACCEPTED = 202;
   private static final int CONFLICT = 409;
 
@@ -47,9 +48,12 @@
   private volatile RunnerReport report = report(0, false);
   private volatile int orderStatus = ACCEPTED;
   private volatile long answerDelay = 1;
-  private EngineController control;
+  private EngineController controller;
 
-  /** Writes orders as their model's name; the report is handed over beside the wire. */
+  /**
+   * Encodes orders as text with the model's name; reports are passed directly instead of being
+   * decoded.
+   */
   private final class Dialect implements RunnerDialect {
     @Override
     public void writeTerms(SendTerms terms, MultiMap headers) {}
@@ -100,7 +104,7 @@
     }
   }
 
-  private static final class Granted implements EngineController.Orders {
+  private static final class Granted implements EngineController.PlannerCallbacks {
     @Override
     public Optional<LeaseGrant> grant() {
       return Optional.of(new LeaseGrant(1, Long.MAX_VALUE));
@@ -149,17 +153,17 @@
             Set.of());
     onLoop(
         () -> {
-          control =
+          controller =
               new EngineController(
                   vertx,
                   vertx.createHttpClient(),
                   new Dialect(),
                   new Granted(),
                   new OutstandingOrders());
-          control.update(entry, true, 8);
+          controller.update(entry, true, 8);
           return null;
         });
-    await().atMost(PATIENCE).until(() -> ticked(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(controller::isReady));
   }
 
   @AfterEach
@@ -182,55 +186,56 @@
             });
   }
 
-  private <T> T onLoop(Supplier<T> work) {
+  private <T> T onLoop(Supplier<T> task) {
     CompletableFuture<T> done = new CompletableFuture<>();
-    context.runOnContext(run -> done.complete(work.get()));
+    context.runOnContext(run -> done.complete(task.get()));
     return done.join();
   }
 
-  private <T> T ticked(Supplier<T> question) {
+  private <T> T afterTick(Supplier<T> query) {
     return onLoop(
         () -> {
-          control.tick();
-          return question.get();
+          controller.tick();
+          return query.get();
         });
   }
 
-  private void begin(String model) {
+  private void startLoad(String model) {
     onLoop(
         () -> {
-          control.begin(new ReplicaMove("r", List.of(), model, true, 1_000));
+          controller.begin(new ReplicaMove("r", List.of(), model, true, 1_000));
           return null;
         });
   }
 
   @Test
-  void modelWhoseOrderWasAnsweredLateStaysHeldWhileReportsAreOlderThanTheAnswer() {
+  void modelWithDelayedOrderResponseStaysHeldWhileReportsAreOlderThanTheResponse() {
     answerDelay = SLOW_ANSWER_MILLISECONDS;
-    final long begun = System.nanoTime();
-    begin("a");
-    await().atMost(PATIENCE).until(() -> orders.size() == 1);
-    long until =
-        begun + Duration.ofMillis(SLOW_ANSWER_MILLISECONDS + REPORT_AGE_MILLISECONDS).toNanos();
-    while (System.nanoTime() < until) {
-      assertTrue(ticked(control::possiblyHeld).contains("a"), "the report is older than the order");
+    final long startedAt = System.nanoTime();
+    startLoad("a");
+    await().atMost(TIMEOUT).until(() -> orders.size() == 1);
+    long oldReportsUntil =
+        startedAt + Duration.ofMillis(SLOW_ANSWER_MILLISECONDS + REPORT_AGE_MILLISECONDS).toNanos();
+    while (System.nanoTime() < oldReportsUntil) {
+      assertTrue(
+          afterTick(controller::possiblyHeld).contains("a"), "the report is older than the order");
     }
     report = report(1, false, "a");
-    await().atMost(PATIENCE).until(() -> ticked(control::isReady));
-    assertEquals(Set.of("a"), onLoop(control::possiblyHeld));
+    await().atMost(TIMEOUT).until(() -> afterTick(controller::isReady));
+    assertEquals(Set.of("a"), onLoop(controller::possiblyHeld));
   }
 
   @Test
-  void loadThatAnotherOrderOvertookIsPlannedAnew() {
+  void loadIsAbandonedWhenAnotherOrderTookEffectFirst() {
     orderStatus = CONFLICT;
-    begin("b");
-    await().atMost(PATIENCE).until(() -> orders.size() == 1);
+    startLoad("b");
+    await().atMost(TIMEOUT).until(() -> orders.size() == 1);
     report = report(1, true);
     orderStatus = ACCEPTED;
-    await().pollDelay(Duration.ofSeconds(1)).atMost(PATIENCE).until(() -> ticked(() -> true));
+    await().pollDelay(Duration.ofSeconds(1)).atMost(TIMEOUT).until(() -> afterTick(() -> true));
     report = report(1, false, "other");
-    await().atMost(PATIENCE).until(() -> ticked(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(controller::isReady));
     assertEquals(1, orders.size(), orders.toString());
-    assertEquals(Set.of("other"), onLoop(control::possiblyHeld));
+    assertEquals(Set.of("other"), onLoop(controller::possiblyHeld));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
@@ -12,13 +12,13 @@
   private final EventLoopDelay delay = new EventLoopDelay();
 
   private void fire(long now) {
-    delay.fired(now);
-    delay.expectAt(now + PERIOD);
+    delay.timerFired(now);
+    delay.timerScheduled(now + PERIOD);
   }
 
   @Test
-  void bytesThatAreReadInTimeHaveJustCome() {
-    delay.expectAt(PERIOD);
+  void bytesReadOnTimeCountAsJustArrived() {
+    delay.timerScheduled(PERIOD);
     fire(PERIOD);
     fire(2 * PERIOD + EventLoopDelay.TOLERATED_MILLISECONDS);
     assertEquals(400, delay.earliestArrival(400));
@@ -26,15 +26,15 @@
   }
 
   @Test
-  void bytesThatAreReadBeforeAnOverdueTimerMayHaveWaitedSinceItWasDue() {
-    delay.expectAt(PERIOD);
+  void bytesReadBeforeAnOverdueTimerMayHaveArrivedWhenItWasDue() {
+    delay.timerScheduled(PERIOD);
     assertTrue(delay.isBehind(2_000));
     assertEquals(PERIOD, delay.earliestArrival(2_000));
   }
 
   @Test
-  void connectionsThatAreOpenedAfterTheStandstillMayBringBytesFromBeforeIt() {
-    delay.expectAt(PERIOD);
+  void connectionsOpenedAfterAStallMayCarryBytesFromBeforeIt() {
+    delay.timerScheduled(PERIOD);
     fire(2_000);
     assertEquals(PERIOD, delay.earliestArrival(2_050));
     fire(2_120);
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void lastingOverloadDoesNotMakeRequestsOlderThanTwoFirings() {
-    delay.expectAt(PERIOD);
+  void permanentOverloadAddsAtMostTwoFiringsToTheAgeOfRequests() {
+    delay.timerScheduled(PERIOD);
     long now = 0;
     for (int firing = 0; firing < 50; firing++) {
       now += PERIOD + 300;
--- a/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
@@ -24,19 +24,19 @@
 import org.junit.jupiter.api.Test;
 
 class ForwardingPeersTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
   private static final int LARGE_DOMAIN = 5;
 
   private final Vertx vertx = Vertx.vertx();
   private final List<Member> members = new ArrayList<>();
 
-  /** One instance, which keeps what it is told. */
+  /** An instance that records received messages. */
   private final class Member implements ForwardingPeers.Listener {
-    private final List<PeerMessage> heard = new CopyOnWriteArrayList<>();
+    private final List<PeerMessage> receivedMessages = new CopyOnWriteArrayList<>();
     private final ForwardingPeers peers;
 
     Member(String id, String domain, List<Address> seeds) throws IOException {
-      Address address = free();
+      Address address = unusedAddress();
       Context context = vertx.getOrCreateContext();
       Instance self =
           new Instance(
@@ -52,7 +52,7 @@
 
     @Override
     public void received(PeerMessage message) {
-      heard.add(message);
+      receivedMessages.add(message);
     }
 
     @Override
@@ -61,7 +61,7 @@
     }
   }
 
-  private static Address free() throws IOException {
+  private static Address unusedAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
       return new Address("127.0.0.1", socket.getLocalPort());
     }
@@ -74,8 +74,7 @@
   }
 
   @Test
-  void whatIsToldToAllReachesEachInstanceOfLargeFailureDomainOnceByWayOfItsRelay()
-      throws IOException {
+  void broadcastReachesEachInstanceOfALargeFailureDomainOnceThroughItsRelay() throws IOException {
     Member sender = new Member("sender", "small", List.of());
     members.add(sender);
     List<Address> seeds = List.of(sender.peers.self().peerAddress());
@@ -83,7 +82,7 @@
       members.add(new Member("member-" + number, "large", seeds));
     }
     for (Member member : members) {
-      await().atMost(PATIENCE).until(() -> member.peers.answering().size() == members.size());
+      await().atMost(TIMEOUT).until(() -> member.peers.answering().size() == members.size());
     }
     assertEquals(1, sender.peers.relays().relays().size());
     PeerMessage notice = new PeerMessage.PlannerNotice("sender", 3);
@@ -91,9 +90,11 @@
     PeerMessage later = new PeerMessage.PlannerNotice("sender", 4);
     sender.peers.broadcast(later);
     for (Member member : members.subList(1, members.size())) {
-      await().atMost(PATIENCE).until(() -> member.heard.containsAll(Set.of(notice, later)));
-      assertEquals(2, member.heard.size(), member.heard.toString());
+      await()
+          .atMost(TIMEOUT)
+          .until(() -> member.receivedMessages.containsAll(Set.of(notice, later)));
+      assertEquals(2, member.receivedMessages.size(), member.receivedMessages.toString());
     }
-    assertEquals(List.of(), sender.heard);
+    assertEquals(List.of(), sender.receivedMessages);
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -18,12 +18,12 @@
 import org.agatefield.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** Fleets of several sizes in which each instance has work at one runner. */
+/** Simulates fleets of several sizes in which each instance has sent requests to one runner. */
 class LoadExchangeTest {
   private static final int DOMAINS = 3;
   private static final String RUNNER = "runner";
   private static final int TOKENS = 100;
-  private static final long SETTLED_MILLISECONDS = 3_000;
+  private static final long CONVERGENCE_MILLISECONDS = 3_000;
 
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final Set<String> dead = new HashSet<>();
@@ -93,42 +93,42 @@
     members.values().forEach(member -> member.loads.sent(RUNNER, TOKENS));
   }
 
-  private int known(String id) {
+  private int visibleRequests(String id) {
     return members.get(id).loads.total(RUNNER, now).running();
   }
 
   @Test
-  void eachInstanceOfLargeDomainsKnowsTheWorkOfTheWholeFleetOnce() {
+  void everyInstanceOfALargeDomainCountsEachRequestOfTheFleetOnce() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     for (String id : members.keySet()) {
-      assertEquals(members.size(), known(id), id);
+      assertEquals(members.size(), visibleRequests(id), id);
     }
   }
 
   @Test
-  void eachInstanceOfSmallDomainsKnowsTheWorkOfTheWholeFleetOnce() {
+  void everyInstanceOfASmallDomainCountsEachRequestOfTheFleetOnce() {
     startFleet(3);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     for (String id : members.keySet()) {
-      assertEquals(members.size(), known(id), id);
+      assertEquals(members.size(), visibleRequests(id), id);
     }
   }
 
   @Test
-  void anInstanceHandlesNoMoreMessagesInLargeDomainsThanInSmallOnes() {
-    assertTrue(mostMessagesBehindRelay(32) <= mostMessagesBehindRelay(8));
+  void messagesPerInstanceDoNotGrowWithTheDomainSize() {
+    assertTrue(maximumMessagesBehindRelay(32) <= maximumMessagesBehindRelay(8));
   }
 
-  private int mostMessagesBehindRelay(int instancesPerDomain) {
+  private int maximumMessagesBehindRelay(int instancesPerDomain) {
     members.clear();
     startFleet(instancesPerDomain);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     messages.clear();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     return members.values().stream()
         .filter(member -> !member.relays().speaks())
         .mapToInt(member -> messages.get(member.self().id()))
@@ -137,34 +137,34 @@
   }
 
   @Test
-  void workThatEndedIsSoonCountedNowhere() {
+  void finishedRequestsAreNoLongerCountedAnywhere() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     members.values().forEach(member -> member.loads.ended(RUNNER));
-    run(SETTLED_MILLISECONDS);
-    members.keySet().forEach(id -> assertEquals(0, known(id), id));
+    run(CONVERGENCE_MILLISECONDS);
+    members.keySet().forEach(id -> assertEquals(0, visibleRequests(id), id));
   }
 
   @Test
-  void neighboursTellEachOtherWhileTheRelayIsSilent() {
+  void neighboursReportToEachOtherWhileTheRelayIsSilent() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     dead.add("d0-aa");
-    run(SETTLED_MILLISECONDS);
-    assertEquals(7, known("d0-ab"));
+    run(CONVERGENCE_MILLISECONDS);
+    assertEquals(7, visibleRequests("d0-ab"));
   }
 
   @Test
-  void relayThatAnswersAgainSpeaksForItsNeighboursAgain() {
+  void recoveredRelayReportsForItsNeighboursAgain() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     dead.add("d0-aa");
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     dead.clear();
-    run(SETTLED_MILLISECONDS);
-    assertEquals(members.size(), known("d0-ab"));
+    run(CONVERGENCE_MILLISECONDS);
+    assertEquals(members.size(), visibleRequests("d0-ab"));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
@@ -6,47 +6,47 @@
 import org.junit.jupiter.api.Test;
 
 class OutstandingOrdersTest {
-  private final OutstandingOrders late = new OutstandingOrders();
+  private final OutstandingOrders orders = new OutstandingOrders();
 
   @Test
-  void orderWithoutAnswerCountsInTheNextLifeUntilItCanNoLongerTakeEffect() {
-    late.sent("m1", 1_000);
-    assertEquals(Set.of(), late.models(1_000));
-    late.runnerRestarted();
-    assertEquals(Set.of("m1"), late.models(1_000 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
-    assertEquals(Set.of(), late.models(1_001 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
+  void unansweredOrderCountsAfterARestartUntilItCanNoLongerTakeEffect() {
+    orders.sent("m1", 1_000);
+    assertEquals(Set.of(), orders.models(1_000));
+    orders.runnerRestarted();
+    assertEquals(Set.of("m1"), orders.models(1_000 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
+    assertEquals(Set.of(), orders.models(1_001 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
   }
 
   @Test
-  void adaptersAreCountedApartFromModels() {
-    late.sent("m1/a1", 0);
-    late.sent("m2", 0);
-    late.runnerRestarted();
-    assertEquals(1, late.adapters(1));
-    assertEquals(Set.of("m2"), late.models(1));
+  void adaptersAreCountedSeparatelyFromModels() {
+    orders.sent("m1/a1", 0);
+    orders.sent("m2", 0);
+    orders.runnerRestarted();
+    assertEquals(1, orders.adapters(1));
+    assertEquals(Set.of("m2"), orders.models(1));
   }
 
   @Test
-  void secondRestartKeepsWhatThePreviousOneLeft() {
-    late.sent("m1", 0);
-    late.runnerRestarted();
-    late.sent("m2", 100);
-    late.runnerRestarted();
-    assertEquals(Set.of("m1", "m2"), late.models(200));
+  void secondRestartRetainsTheOrdersFromBeforeTheFirst() {
+    orders.sent("m1", 0);
+    orders.runnerRestarted();
+    orders.sent("m2", 100);
+    orders.runnerRestarted();
+    assertEquals(Set.of("m1", "m2"), orders.models(200));
   }
 
   @Test
-  void orderThatWasAnsweredNoLongerCountsThoughTheAnswerCameInTheNextLife() {
-    late.sent("m1", 0);
-    late.sent("m2", 0);
-    late.answered("m1");
-    late.runnerRestarted();
-    late.answered("m2");
-    assertEquals(Set.of(), late.models(1));
+  void answeredOrderNoLongerCountsEvenIfTheResponseArrivedAfterARestart() {
+    orders.sent("m1", 0);
+    orders.sent("m2", 0);
+    orders.answered("m1");
+    orders.runnerRestarted();
+    orders.answered("m2");
+    assertEquals(Set.of(), orders.models(1));
   }
 
   @Test
-  void ordersOutliveTheEntryOfTheirRunner() {
+  void ordersOutliveTheRunnerEntry() {
     OutstandingOrdersByRunner byRunner = new OutstandingOrdersByRunner();
     byRunner.of("r").sent("m1", 0);
     byRunner.runnerRemoved("r");
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -33,34 +33,37 @@
 import org.agatefield.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** A fleet in two regions on simulated time, with cuts, restarts and delays. */
+/** Simulates a fleet in two regions with partitions, restarts and message delays. */
 class RegionalQuotaPolicyTest {
   private static final int INSTANCES = 20;
   private static final double REQUEST_TOKENS = 2_400;
   private static final double WINDOW_SECONDS = 8;
   private static final double OVERAGE = 0.1;
   private static final double SLACK = 17_000;
-  private static final long BELIEF_MILLISECONDS = 2_500; // until a lost instance is noticed
+  private static final long DETECTION_MILLISECONDS =
+      2_500; // Time until a lost instance is detected.
   private static final long REGION_MILLISECONDS = 30;
-  private static final long NEAR_MILLISECONDS = 2;
+  private static final long LOCAL_MILLISECONDS = 2;
 
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
   private final List<Grant> grants = new ArrayList<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> isolated = new HashSet<>();
   private long now;
   private long scheduled;
   private int refused;
-  private double unusedShare; // of the granted requests that are refused for another reason
-  private boolean withinQuota; // whether the account asks for no more than it may
-  private QuotaBucket quota; // what the account may ask for, without any tolerance
+  private double
+      refundedShare; // Share of the granted requests that are refunded because they were refused
+  // for another reason.
+  private boolean withinQuota; // Whether the account requests no more than its quota allows.
+  private QuotaBucket allowance; // The quota without any tolerance.
 
-  private record Event(long at, long number, Runnable work) {}
+  private record Event(long at, long number, Runnable task) {}
 
   private record Grant(long at, double tokens) {}
 
-  /** One instance; another life of it is another member under the same name. */
+  /** One instance process; a restarted process is another member under the same name. */
   private final class Member implements RegionalQuotaPolicy.Fleet {
     private final Instance self;
     private final RegionalQuotaPolicy quotas;
@@ -74,7 +77,7 @@
       this.account = account;
       this.quotas =
           new RegionalQuotaPolicy(
-              (delay, work) -> schedule(delay, whileAlive(work)),
+              (delay, task) -> schedule(delay, ifRunning(task)),
               () -> now,
               this,
               new QuotaTolerance(WINDOW_SECONDS, OVERAGE, SLACK),
@@ -82,11 +85,11 @@
               () -> new AccountTable(List.of(this.account)));
     }
 
-    /** Work of a process ends with it. */
-    private Runnable whileAlive(Runnable work) {
+    /** Runs the task only if this process is still running. */
+    private Runnable ifRunning(Runnable task) {
       return () -> {
         if (members.get(self.id()) == this) {
-          work.run();
+          task.run();
         }
       };
     }
@@ -96,34 +99,35 @@
       return self;
     }
 
-    /** Believes in those that are reached, and for a while in those that no longer are. */
+    /** Includes reachable instances, and unreachable ones until their loss is detected. */
     @Override
     public List<Instance> answering() {
-      List<Instance> seen = new ArrayList<>();
+      List<Instance> visible = new ArrayList<>();
       for (Member other : members.values()) {
         if (other == this || reaches(self.id(), other.self.id())) {
           lostAt.remove(other.self.id());
-          seen.add(other.self);
-        } else if (now - lostAt.computeIfAbsent(other.self.id(), id -> now) < BELIEF_MILLISECONDS) {
-          seen.add(other.self);
+          visible.add(other.self);
+        } else if (now - lostAt.computeIfAbsent(other.self.id(), id -> now)
+            < DETECTION_MILLISECONDS) {
+          visible.add(other.self);
         }
       }
-      if (!seen.equals(answering)) {
-        answering = seen;
+      if (!visible.equals(answering)) {
+        answering = visible;
       }
       return answering;
     }
 
     @Override
     public boolean isIsolated() {
-      return cut.contains(self.id()) && now - cutAt > 1_500;
+      return isolated.contains(self.id()) && now - isolatedAt > 1_500;
     }
 
     @Override
     public void send(Instance to, PeerMessage message) {
       if (reaches(self.id(), to.id())) {
         schedule(
-            way(self, to),
+            latency(self, to),
             () -> members.get(to.id()).quotas.tokensReturned((PeerMessage.QuotaReturn) message));
       }
     }
@@ -133,16 +137,16 @@
       CompletableFuture<PeerMessage> answered = new CompletableFuture<>();
       schedule(
           limit,
-          whileAlive(() -> answered.completeExceptionally(new TimeoutException("no answer"))));
-      long way = way(self, to);
+          ifRunning(() -> answered.completeExceptionally(new TimeoutException("no answer"))));
+      long latency = latency(self, to);
       if (reaches(self.id(), to.id())) {
-        schedule(way, () -> deliver(to, message, answered, way));
+        schedule(latency, () -> deliver(to, message, answered, latency));
       }
       return answered;
     }
 
     private void deliver(
-        Instance to, PeerMessage message, CompletableFuture<PeerMessage> answered, long way) {
+        Instance to, PeerMessage message, CompletableFuture<PeerMessage> answered, long latency) {
       Member receiver = members.get(to.id());
       if (receiver == null || !reaches(self.id(), to.id())) {
         return;
@@ -153,8 +157,8 @@
           .thenAccept(
               answer ->
                   schedule(
-                      way,
-                      whileAlive(
+                      latency,
+                      ifRunning(
                           () -> {
                             if (reaches(self.id(), to.id())) {
                               answered.complete(answer);
@@ -163,26 +167,26 @@
     }
   }
 
-  private long cutAt;
+  private long isolatedAt;
 
-  private static long way(Instance from, Instance to) {
-    boolean near = from.failureDomain().region().equals(to.failureDomain().region());
-    return near ? NEAR_MILLISECONDS : REGION_MILLISECONDS;
+  private static long latency(Instance from, Instance to) {
+    boolean sameRegion = from.failureDomain().region().equals(to.failureDomain().region());
+    return sameRegion ? LOCAL_MILLISECONDS : REGION_MILLISECONDS;
   }
 
   private boolean reaches(String from, String to) {
-    return from.equals(to) || (!cut.contains(from) && !cut.contains(to));
+    return from.equals(to) || (!isolated.contains(from) && !isolated.contains(to));
   }
 
-  private void schedule(long delay, Runnable work) {
-    events.add(new Event(now + delay, scheduled++, work));
+  private void schedule(long delay, Runnable task) {
+    events.add(new Event(now + delay, scheduled++, task));
   }
 
   private void runUntil(long end) {
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event next = events.poll();
       now = Math.max(now, next.at());
-      next.work().run();
+      next.task().run();
     }
     now = end;
   }
@@ -197,11 +201,11 @@
 
   private void startFleet(ClientAccount account) {
     TokenQuota terms = account.quota().orElseThrow();
-    quota = new QuotaBucket(new TokenRate(terms.perSecond(), terms.burst()), -10_000);
+    allowance = new QuotaBucket(new TokenRate(terms.perSecond(), terms.burst()), -10_000);
     for (int index = 0; index < INSTANCES; index++) {
       startMember(index, account);
     }
-    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::keepAll);
+    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::refreshAll);
     runUntil(15_000);
   }
 
@@ -212,14 +216,14 @@
     members.put(instance.id(), new Member(instance, account));
   }
 
-  private void keepAll() {
+  private void refreshAll() {
     members.values().forEach(member -> member.size.look(now));
     members.values().forEach(member -> member.quotas.refresh(now));
-    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::keepAll);
+    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::refreshAll);
   }
 
-  private void ask(ClientAccount account, Random random, Optional<Integer> region) {
-    if (withinQuota && !quota.tryTake(REQUEST_TOKENS, now)) {
+  private void sendRequest(ClientAccount account, Random random, Optional<Integer> region) {
+    if (withinQuota && !allowance.tryTake(REQUEST_TOKENS, now)) {
       return;
     }
     List<Member> all =
@@ -235,8 +239,8 @@
         REQUEST_TOKENS,
         1_500,
         decision -> {
-          if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
-            if (random.nextDouble() < unusedShare) {
+          if (decision instanceof QuotaPolicy.Decision.Granted && refundedShare > 0) {
+            if (random.nextDouble() < refundedShare) {
               schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
@@ -249,7 +253,7 @@
         });
   }
 
-  /** Sends requests at random moments around a rate. */
+  /** Sends requests at random times with the given mean rate. */
   private void traffic(
       ClientAccount account, double perSecond, long forMilliseconds, Random random, int region) {
     long end = now + forMilliseconds;
@@ -258,7 +262,8 @@
       at += -Math.log(1 - random.nextDouble()) / perSecond * 1_000;
       long delay = (long) at - now;
       schedule(
-          delay, () -> ask(account, random, region < 0 ? Optional.empty() : Optional.of(region)));
+          delay,
+          () -> sendRequest(account, random, region < 0 ? Optional.empty() : Optional.of(region)));
     }
   }
 
@@ -277,25 +282,25 @@
   }
 
   @Property(tries = 150, seed = "4711")
-  void floodedQuotaHoldsOverCutsAndRestartsOfSomeOrAll(
+  void floodedAccountStaysWithinQuotaAcrossPartitionsAndRestarts(
       @ForAll @IntRange(max = 1_000_000) int seed,
       @ForAll @IntRange(min = 1, max = 35) int requestsPerSecond) {
     members.clear();
     events.clear();
     grants.clear();
-    cut.clear();
+    isolated.clear();
     now = 0;
     Random random = new Random(seed);
-    unusedShare = random.nextInt(3) * 0.3;
+    refundedShare = random.nextInt(3) * 0.3;
     double perSecond = requestsPerSecond * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
     startFleet(account);
     traffic(account, 4 * requestsPerSecond, 30_000, random, -1);
     runUntil(now + random.nextInt(5_000));
-    cutAt = now;
-    members.keySet().stream().filter(id -> random.nextDouble() < 0.35).forEach(cut::add);
+    isolatedAt = now;
+    members.keySet().stream().filter(id -> random.nextDouble() < 0.35).forEach(isolated::add);
     runUntil(now + 12_000);
-    cut.clear();
+    isolated.clear();
     runUntil(now + random.nextInt(4_000));
     double restarted = random.nextBoolean() ? 1 : 0.2;
     for (int index = 0; index < INSTANCES; index++) {
@@ -308,7 +313,7 @@
   }
 
   @Test
-  void accountBelowItsQuotaIsRefusedLessThanOnceInThousand() {
+  void accountBelowQuotaIsRefusedLessThanOncePerThousandRequests() {
     withinQuota = true;
     double requestsPerSecond = 4_200 / REQUEST_TOKENS;
     ClientAccount account = account(4_200);
@@ -322,11 +327,11 @@
   }
 
   @Test
-  void tokensOfRequestsThatWereNotRunServeOthers() {
+  void refundedTokensAreGrantedToOtherRequests() {
     double perSecond = 10 * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
     startFleet(account);
-    unusedShare = 0.5;
+    refundedShare = 0.5;
     traffic(account, 20, 20_000, new Random(5), -1);
     runUntil(now + 21_000);
     assertTrue(grants.size() > 0.9 * 10 * 20, grants.size() + " run");
@@ -334,7 +339,7 @@
   }
 
   @Test
-  void holderThatLeavesHandsItsTokensToTheNextOne() {
+  void leavingHolderTransfersItsTokensToTheNextHolder() {
     ClientAccount account = account(4_200);
     startFleet(account);
     List<Member> holders =
@@ -346,14 +351,14 @@
     runUntil(now + 100);
     holders.forEach(holder -> members.remove(holder.self.id()));
     for (int request = 0; request < 4; request++) {
-      ask(account, new Random(request), Optional.empty());
+      sendRequest(account, new Random(request), Optional.empty());
     }
     runUntil(now + 400);
     assertEquals(4, grants.size(), refused + " refused");
   }
 
   @Test
-  void lowerQuotaHoldsOneWindowAfterEachInstanceKnowsIt() {
+  void loweredQuotaIsEnforcedOneWindowAfterAllInstancesKnowIt() {
     ClientAccount before = account(35 * REQUEST_TOKENS);
     startFleet(before);
     ClientAccount after = account(2 * REQUEST_TOKENS);
@@ -367,7 +372,7 @@
   }
 
   @Test
-  void partOfRegionThatUsesNoneReachesTheOtherWithinSecond() {
+  void unusedShareOfOneRegionIsAvailableToTheOtherWithinOneSecond() {
     withinQuota = true;
     double perSecond = 10 * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
@@ -378,7 +383,7 @@
   }
 
   @Test
-  void equalPartsRefuseAnAccountBelowItsQuota() {
+  void equalSharesRefuseAnAccountBelowItsQuota() {
     ClientAccount account = account(4_200);
     EqualShareQuotaPolicy quotas =
         new EqualShareQuotaPolicy(
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectSourceTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectSourceTest.java
@@ -41,7 +41,7 @@
   private final RelayedObjectSource objects =
       new RelayedObjectSource(vertx, store, () -> List.copyOf(sources), this::send);
 
-  /** A store that answers nothing but counts how often it is asked. */
+  /** An empty store that counts list calls. */
   private static final class CountingStore implements ObjectSource {
     private int lists;
 
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void objectsAndTheirChangesComeFromTheSourceWithoutCallToTheStore() throws Exception {
+  void objectsAndChangesAreReadFromTheRelayWithoutStoreCalls() throws Exception {
     ObjectRelay relay = addSource("one");
     relay.changed(object("a", "first"));
     relay.confirmed();
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void nothingIsToldBeforeTheSourceKnowsTheObjects() throws Exception {
+  void relayWithoutObjectsIsSkipped() throws Exception {
     addSource("one");
     ObjectRelay second = addSource("two");
     second.changed(object("a", "known"));
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void watchEndsAsGoneWhenItsSourceLosesTheStoreAndTheNextListChoosesAgain() throws Exception {
+  void watchEndsWhenItsRelayLosesTheStoreAndTheNextListUsesAnotherRelay() throws Exception {
     ObjectRelay first = addSource("one");
     first.confirmed();
     final ObjectRelay second = addSource("two");
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void theStoreIsAskedSparinglyWhileNoSourceAnswers() throws Exception {
+  void storeReadsAreRateLimitedWhileNoRelayResponds() throws Exception {
     addSource("one");
     assertEquals("7", list().resourceVersion());
     ExecutionException failure = null;
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void askingForOneKindDoesNotKeepTheStoreFromBeingAskedForAnother() throws Exception {
+  void storeReadsAreRateLimitedForEachKindSeparately() throws Exception {
     addSource("one");
     assertEquals("7", list().resourceVersion());
     ObjectList configuration =
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void sourceThatStartedAgainGivesAllObjectsAnew() throws Exception {
+  void watchEndsWhenItsRelayRestarted() throws Exception {
     ObjectRelay relay = addSource("one");
     relay.confirmed();
     String version = list().resourceVersion();
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void sourceThatHasNotHeardFromTheStoreLatelyIsPassedOver() throws Exception {
+  void relayWithStaleObjectsIsSkipped() throws Exception {
     ObjectRelay first = addSource("one");
     first.changed(object("a", "old"));
     first.confirmed();
--- a/daemon/src/test/java/org/agatefield/daemon/forward/ResponseMemoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ResponseMemoryTest.java
@@ -14,7 +14,9 @@
 
   private final ResponseMemory memory = new ResponseMemory();
 
-  /** Lets answers grow in turn until none may grow any more; returns the most held at once. */
+  /**
+   * Grows the responses in turn until all have been refused more memory; returns the highest total.
+   */
   private long growTogether(int answers) {
     List<ResponseMemory.Share> growing = new ArrayList<>();
     for (int number = 0; number < answers; number++) {
@@ -22,15 +24,15 @@
     }
     long most = 0;
     for (int size = MEBIBYTE; !growing.isEmpty(); size += MEBIBYTE) {
-      int holds = size;
-      growing.removeIf(share -> endsAt(share, holds));
-      most = Math.max(most, memory.heldBytes());
+      int requiredBytes = size;
+      growing.removeIf(share -> endsAt(share, requiredBytes));
+      most = Math.max(most, memory.totalBytes());
     }
     return most;
   }
 
-  private static boolean endsAt(ResponseMemory.Share share, int holds) {
-    boolean ends = !share.hold(holds);
+  private static boolean endsAt(ResponseMemory.Share share, int requiredBytes) {
+    boolean ends = !share.reserve(requiredBytes);
     if (ends) {
       share.release();
     }
@@ -38,23 +40,23 @@
   }
 
   @Test
-  void oneAnswerWithoutEndIsGivenUpAtItsBound() {
+  void endlessResponseIsRefusedMemoryAtItsLimit() {
     assertTrue(growTogether(1) <= 16 * MEBIBYTE);
-    assertEquals(0, memory.heldBytes());
+    assertEquals(0, memory.totalBytes());
   }
 
   @Test
-  void manyAnswersWithoutEndStayWithinTheTotal() {
+  void manyEndlessResponsesStayWithinTheTotalLimit() {
     assertTrue(growTogether(100) <= 24L * MEBIBYTE);
-    assertEquals(0, memory.heldBytes());
+    assertEquals(0, memory.totalBytes());
   }
 
   @Test
-  void answersOfUsualSizeFindRoomBesideLargeOnes() {
+  void responsesOfUsualSizeFitBesideLargeOnes() {
     ResponseMemory.Share first = memory.share();
     ResponseMemory.Share second = memory.share();
-    assertTrue(first.hold(15 * MEBIBYTE));
-    assertFalse(second.hold(15 * MEBIBYTE));
-    assertTrue(memory.share().hold(USUAL_BYTES));
+    assertTrue(first.reserve(15 * MEBIBYTE));
+    assertFalse(second.reserve(15 * MEBIBYTE));
+    assertTrue(memory.share().reserve(USUAL_BYTES));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -26,7 +26,7 @@
 class RunnerDirectoryTest {
   private final RunnerDirectory directory = new RunnerDirectory(new TextDialect());
 
-  /** Reads content of the form {@code ready}, {@code draining} or anything unreadable. */
+  /** Decodes the content {@code ready} or {@code draining}; any other content is invalid. */
   private static final class TextDialect implements StoredObjectDialect {
     @Override
     public String configurationName() {
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void drainingRunnerGetsNoFurtherRequest() {
+  void drainingRunnerReceivesNoFurtherRequests() {
     directory.changed(entry("a", "ready"));
     assertEquals(1, usable());
     directory.changed(entry("a", "draining"));
@@ -78,14 +78,14 @@
   }
 
   @Test
-  void anEntryThatVanishesWhileTheStoreAnswersIsGone() {
+  void entryDeletedWhileTheStoreRespondsIsRemoved() {
     directory.changed(entry("a", "ready"));
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     assertEquals(0, usable());
   }
 
   @Test
-  void anEntryThatLapsedWithTheStoreAwayStaysUntilItHadTimeToComeBack() {
+  void entryExpiredDuringAStoreOutageRemainsUntilItCouldBeRewritten() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void anEntryThatCameBackInTimeIsKept() {
+  void entryRewrittenInTimeIsRetained() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void runnerThatBeganToLeaveAfterItWasChosenIsNotUsable() {
+  void runnerThatStartsToDrainAfterItsSelectionIsNotUsable() {
     RunnerSelector selector =
         new RunnerSelector(
             new FailureDomain("r", "d"),
@@ -126,14 +126,14 @@
   }
 
   @Test
-  void anUnreadableEntryNamesNoRunner() {
+  void runnerWithUnreadableEntryIsNotUsable() {
     directory.changed(entry("a", "ready"));
     directory.changed(entry("a", "resting"));
     assertEquals(0, usable());
   }
 
   @Test
-  void whatPeerTellsDoesNotReplaceWhatTheStoreSaid() {
+  void peerEntryDoesNotReplaceStoreEntry() {
     directory.changed(entry("a", "draining"));
     directory.addFromPeer("a", JsonNodeFactory.instance.textNode("ready"), 10);
     assertEquals(0, usable());
--- a/daemon/src/test/java/org/agatefield/daemon/forward/StallTimeoutsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/StallTimeoutsTest.java
@@ -25,19 +25,19 @@
           List.of(new WeightedService("s", 1)));
 
   @Test
-  void runnerThatStillSendsToOthersIsGivenMoreTime() {
+  void runnerThatSendsDataForOtherRequestsGetsALongerTimeout() {
     long busy = StallTimeouts.milliseconds(STREAM, false, 5_000, 100);
     long lost = StallTimeouts.milliseconds(STREAM, false, 5_000, 2_000);
     assertTrue(busy > lost, busy + " and " + lost);
   }
 
   @Test
-  void lostRunnerLeavesTimeForAnotherAttempt() {
+  void timeoutOfALostRunnerLeavesTimeForAnotherAttempt() {
     assertTrue(StallTimeouts.milliseconds(STREAM, false, 5_000, 2_000) <= 2_500);
   }
 
   @Test
-  void brokenPauseIsNoticedBeforeTheCallerLeaves() {
+  void streamStallIsDetectedBeforeTheCallerDisconnects() {
     assertTrue(StallTimeouts.milliseconds(STREAM, true, 5_000, 2_000) < 2_000);
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/SuspensionDetectorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/SuspensionDetectorTest.java
@@ -9,19 +9,19 @@
   private final SuspensionDetector detector = new SuspensionDetector(1_000, 500_000);
 
   @Test
-  void clocksThatGoTogetherAreTrusted() {
+  void noSuspensionIsReportedWhileTheClocksAgree() {
     assertFalse(detector.wasSuspended(1_200, 500_210));
     assertFalse(detector.wasSuspended(9_200, 508_205));
   }
 
   @Test
-  void suspensionThatOnlyTheTimeOfDayCountsIsNoticedOnce() {
+  void suspensionCountedOnlyByTheWallClockIsReportedOnce() {
     assertTrue(detector.wasSuspended(1_200, 506_200));
     assertFalse(detector.wasSuspended(1_400, 506_400));
   }
 
   @Test
-  void stepOfTheTimeOfDayIsNoticedEitherWay() {
+  void backwardStepOfTheWallClockIsReported() {
     assertTrue(detector.wasSuspended(1_200, 498_200));
   }
 }
