--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -32,8 +32,8 @@
  */
 final class EngineController {
   private static final Logger LOGGER = LogManager.getLogger(EngineController.class);
-  private static final long REPORT_LAG_MILLISECONDS =
-      350; // Reports can be some hundred milliseconds old.
+  // Reports can be some hundred milliseconds old.
+  private static final long REPORT_LAG_MILLISECONDS = 350;
   private static final long POLL_MILLISECONDS = 250;
   private static final long IDLE_POLL_MILLISECONDS = 2_000;
   private static final long UNLOAD_RETRY_MILLISECONDS = 80; // Idle models are unloaded immediately.
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
@@ -20,8 +20,8 @@
  * loop.
  */
 final class EqualShareQuotaPolicy implements QuotaPolicy {
-  private static final double REFILL_SECONDS =
-      30; // The time in which a share earns the tokens of a typical request of a small account.
+  // The time in which a share earns the tokens of a typical request of a small account.
+  private static final double REFILL_SECONDS = 30;
 
   private final QuotaTolerance tolerance;
   private final FleetSize fleet;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -56,18 +56,18 @@
 public final class ForwardingDaemon {
   private static final Logger LOGGER = LogManager.getLogger(ForwardingDaemon.class);
   private static final String PLANNER_LEASE = "planner";
-  private static final Duration LEASE_DURATION =
-      Duration.ofSeconds(4); // Allows a takeover within five seconds.
+  // Allows a takeover within five seconds.
+  private static final Duration LEASE_DURATION = Duration.ofSeconds(4);
   private static final Duration STORE_TIMEOUT = Duration.ofMillis(1_500);
-  private static final Duration STORE_POLL =
-      Duration.ofSeconds(60); // Polling only verifies the watch.
+  // Polling only verifies the watch.
+  private static final Duration STORE_POLL = Duration.ofSeconds(60);
   private static final Duration MAXIMUM_STORE_DELAY = Duration.ofMillis(1_000);
   private static final int CONNECT_MILLISECONDS = 400; // Several times the latency between regions.
   private static final int CONNECTIONS_PER_RUNNER = 400;
-  private static final long LAPSE_CHECK_MILLISECONDS =
-      240; // A tenth of the time that expired entries are retained.
-  private static final long REFUSAL_DELAY_MILLISECONDS =
-      1_500; // Most callers have queried the directory again by then.
+  // A tenth of the time that expired entries are retained.
+  private static final long EXPIRY_CHECK_MILLISECONDS = 240;
+  // Most callers have queried the directory again by then.
+  private static final long REFUSAL_DELAY_MILLISECONDS = 1_500;
   private static final long SHUTDOWN_CHECK_MILLISECONDS = 50;
   private static final long MINIMUM_LEAVING_MILLISECONDS = 3_500;
   private static final long GRACE_MARGIN_MILLISECONDS = 500;
@@ -361,7 +361,7 @@
     tasks.every(LoadExchange.PERIOD_MILLISECONDS, loadExchange::sendReports);
     tasks.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerClient.reportDemand());
     tasks.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerClient.announce());
-    tasks.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
+    tasks.every(EXPIRY_CHECK_MILLISECONDS, runners::removeExpired);
     tasks.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
     tasks.every(RegionalQuotaPolicy.REFRESH_MILLISECONDS, quotas::refresh);
     tasks.start();
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -38,8 +38,8 @@
   // Callers use a directory response that lists a dead instance for seconds, so dead instances are
   // detected in about two seconds.
   private static final long PROBE_MILLISECONDS = 600;
-  private static final long PROBE_TIMEOUT_MILLISECONDS =
-      250; // Four times the latency between regions.
+  // Four times the latency between regions.
+  private static final long PROBE_TIMEOUT_MILLISECONDS = 250;
   private static final int SUSPICION_PROBES = 3;
   // Within this time an instance receives several messages from others through its own probes
   // alone.
@@ -47,8 +47,8 @@
   // A starting fleet exchanges updates about every pair of members, so fewer and larger messages
   // are used.
   private static final int UPDATES_PER_MESSAGE = 24; // About 3 KB.
-  private static final int TRANSMIT_MULTIPLIER =
-      2; // Full state exchanges deliver updates that are missed.
+  // Full state exchanges deliver updates that are missed.
+  private static final int TRANSMIT_MULTIPLIER = 2;
 
   private final Closer closer = new Closer();
   private final ContextInternal context;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
@@ -22,11 +22,11 @@
  */
 final class IngressServer {
   private static final Logger LOGGER = LogManager.getLogger(IngressServer.class);
-  private static final long MAXIMUM_BUFFERED_BYTES =
-      48L * 1_048_576; // A quarter of the usual heap.
+  // A quarter of the usual heap.
+  private static final long MAXIMUM_BUFFERED_BYTES = 48L * 1_048_576;
   private static final long NO_CONFIGURATION_RETRY_MILLISECONDS = 300;
-  private static final long LEAVING_RETRY_MILLISECONDS =
-      20; // Any other instance accepts the request immediately.
+  // Any other instance accepts the request immediately.
+  private static final long LEAVING_RETRY_MILLISECONDS = 20;
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
   private static final int BODY_TOO_LARGE = 413;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -23,11 +23,11 @@
  */
 final class LoadExchange {
   /** Interval at which {@link #sendReports} must be called. */
-  static final long PERIOD_MILLISECONDS =
-      120; // The backlog changes by a tenth of an objective in this time.
+  // The backlog changes by a tenth of an objective in this time.
+  static final long PERIOD_MILLISECONDS = 120;
 
-  private static final int PERIODS_PER_LARGE_DOMAIN_REPORT =
-      2; // With many neighbours each has a smaller share.
+  // With many neighbours each has a smaller share.
+  private static final int PERIODS_PER_LARGE_DOMAIN_REPORT = 2;
   private static final int PERIODS_PER_DISTANT_REPORT = 2; // Traffic between domains is charged.
   private static final int PERIODS_PER_DOMAIN_SUM = 4;
   private static final long RELAY_TIMEOUT_MILLISECONDS = 720; // Three report intervals of a relay.
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -38,12 +38,12 @@
 final class ModelPlanner implements RunnerDirectory.Listener {
   private static final Logger LOGGER = LogManager.getLogger(ModelPlanner.class);
   private static final long TICK_MILLISECONDS = 200; // A fraction of the shortest load time.
-  private static final double CONCURRENT_LOADS_PER_RATE =
-      3; // Limit of the weight stores according to their data sheets.
+  // Limit of the weight stores according to their data sheets.
+  private static final double CONCURRENT_LOADS_PER_RATE = 3;
   private static final long STATE_LOG_MILLISECONDS = 1_000;
   private static final int RUNNERS_PER_SECOND_OF_LOG = 20; // Large fleets are logged less often.
-  private static final int CONCURRENT_ADAPTER_LOADS =
-      24; // Limit of the smaller weight store according to its data sheet.
+  // Limit of the smaller weight store according to its data sheet.
+  private static final int CONCURRENT_ADAPTER_LOADS = 24;
   private static final double MAXIMUM_ADAPTER_MEGABYTES = 64;
 
   private final Vertx vertx;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPresence.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPresence.java
@@ -17,14 +17,14 @@
 final class ModelPresence {
   // The planner retains an adapter at least this long after its last use.
   private static final long ADAPTER_CONFIRMATION_MILLISECONDS = 2_500;
-  private static final long MODEL_ABSENCE_MILLISECONDS =
-      700; // Entries are updated within a heartbeat.
+  // Entries are updated within a heartbeat.
+  private static final long MODEL_ABSENCE_MILLISECONDS = 700;
 
   // An unload waits for the model's requests; the entry is updated when the unload is complete.
   private static final long WITHDRAWAL_MILLISECONDS = 5_000;
 
-  private static final long LOAD_DELAY_TOLERANCE_MILLISECONDS =
-      2_000; // Loads slow down when many run concurrently.
+  // Loads slow down when many run concurrently.
+  private static final long LOAD_DELAY_TOLERANCE_MILLISECONDS = 2_000;
 
   private final Map<String, Map<String, Long>> modelsExpectedAt = new HashMap<>();
   private final Map<String, Map<String, Long>> adaptersConfirmedAt = new HashMap<>();
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
@@ -31,8 +31,8 @@
   // Longer than the longest wait of a watch. A suspended process receives no confirmations and
   // becomes stale.
   private static final long STALE_AFTER_MILLISECONDS = 2_500;
-  private static final long BATCH_MILLISECONDS =
-      20; // Batches changes that occur close together into one response.
+  // Batches changes that occur close together into one response.
+  private static final long BATCH_MILLISECONDS = 20;
 
   private final Vertx vertx;
   private final String processId;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
@@ -16,8 +16,8 @@
  */
 final class OutstandingOrders {
   /** How long after sending an order may still be executed. */
-  static final long MAXIMUM_DELAY_MILLISECONDS =
-      13_000; // The specification allows delays of seconds; benchmarks use twelve.
+  // The specification allows delays of seconds; benchmarks use twelve.
+  static final long MAXIMUM_DELAY_MILLISECONDS = 13_000;
 
   private final Map<String, Long> pending = new HashMap<>();
   private final Map<String, Long> fromEarlierProcesses = new HashMap<>();
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
@@ -86,7 +86,8 @@
                     plannerInstance.get().id(),
                     failure.toString());
               }
-              return answer instanceof PeerMessage.AdapterAnswer known && known.present();
+              return answer instanceof PeerMessage.AdapterAnswer adapterAnswer
+                  && adapterAnswer.present();
             });
   }
 
@@ -197,6 +198,6 @@
   }
 
   private Optional<Instance> plannerInstance() {
-    return notice.flatMap(known -> peers.member(known.instance()));
+    return notice.flatMap(current -> peers.member(current.instance()));
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -42,23 +42,23 @@
   static final long REFRESH_MILLISECONDS = 240;
 
   private static final Logger LOGGER = LogManager.getLogger(RegionalQuotaPolicy.class);
-  private static final long REQUEST_TIMEOUT_MILLISECONDS =
-      700; // Holders limited to 0.1 core respond slowly.
-  private static final long LOAN_TIMEOUT_MILLISECONDS =
-      300; // Five times the latency between regions.
-  private static final long RETRY_MILLISECONDS =
-      150; // Allows several attempts during a holder failure.
-  private static final long MAXIMUM_WAIT_MILLISECONDS =
-      400; // Shorter than the time a caller loses when it is refused.
-  private static final long MAXIMUM_EXHAUSTION_MILLISECONDS =
-      300; // Refunds may make tokens available earlier.
+  // Holders limited to 0.1 core respond slowly.
+  private static final long REQUEST_TIMEOUT_MILLISECONDS = 700;
+  // Five times the latency between regions.
+  private static final long LOAN_TIMEOUT_MILLISECONDS = 300;
+  // Allows several attempts during a holder failure.
+  private static final long RETRY_MILLISECONDS = 150;
+  // Shorter than the time a caller loses when it is refused.
+  private static final long MAXIMUM_WAIT_MILLISECONDS = 400;
+  // Refunds may make tokens available earlier.
+  private static final long MAXIMUM_EXHAUSTION_MILLISECONDS = 300;
   // Other instances may still count on this instance's share until this time has passed.
   private static final long LOCAL_SHARE_DELAY_MILLISECONDS = 2_500;
   private static final long LOAN_PAUSE_MILLISECONDS = 120; // Twice the latency between regions.
-  private static final double MAXIMUM_LENT_SHARE =
-      0.75; // The rest is reserved for requests of the lender's region.
-  private static final double LOW_SHARE =
-      0.4; // Fraction of the capacity below which a loan is requested.
+  // The rest is reserved for requests of the lender's region.
+  private static final double MAXIMUM_LENT_SHARE = 0.75;
+  // Fraction of the capacity below which a loan is requested.
+  private static final double LOW_SHARE = 0.4;
   private static final double TARGET_SHARE = 0.6; // Fraction of the capacity to reach with a loan.
 
   private final Timers timers;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
@@ -36,14 +36,14 @@
 final class RelayedObjectSource implements ObjectSource {
   private static final Logger LOGGER = LogManager.getLogger(RelayedObjectSource.class);
   private static final String RELAYED_VERSION_PREFIX = "relayed/";
-  private static final int POLL_WAIT_MILLISECONDS =
-      1_000; // A stalled source is detected after 1.3 s.
-  private static final long RESPONSE_TIMEOUT_MILLISECONDS =
-      300; // In addition to the wait; sources are nearby.
-  private static final long STORE_WATCH_MILLISECONDS =
-      2_000; // A starting fleet discovers its relays in about one second.
-  private static final long STORE_PAUSE_MILLISECONDS =
-      1_500; // Each store call is charged, also during an outage.
+  // A stalled source is detected after 1.3 s.
+  private static final int POLL_WAIT_MILLISECONDS = 1_000;
+  // In addition to the wait; sources are nearby.
+  private static final long RESPONSE_TIMEOUT_MILLISECONDS = 300;
+  // A starting fleet discovers its relays in about one second.
+  private static final long STORE_WATCH_MILLISECONDS = 2_000;
+  // Each store call is charged, also during an outage.
+  private static final long STORE_PAUSE_MILLISECONDS = 1_500;
 
   private final Vertx vertx;
   private final ObjectSource store;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -30,8 +30,8 @@
   /** Minimum time before the deadline at which a request is still sent to a runner. */
   static final long MINIMUM_SEND_MILLISECONDS = 20; // Two engine steps.
 
-  private static final long STALL_CHECK_MILLISECONDS =
-      100; // A fraction of the shortest stall timeout.
+  // A fraction of the shortest stall timeout.
+  private static final long STALL_CHECK_MILLISECONDS = 100;
 
   private final ForwardingContext context;
   private final Route route;
@@ -65,16 +65,16 @@
    */
   RequestAttempt(
       ForwardingContext context,
-      ServedRequest purpose,
+      ServedRequest served,
       ForwardedRequest state,
       Consumer<List<RequestAction>> followUp,
       int attemptNumber,
       RunnerEntry runner) {
     this.context = context;
-    this.route = purpose.route();
-    this.service = purpose.service();
-    this.terms = purpose.terms();
-    this.deadline = purpose.deadline();
+    this.route = served.route();
+    this.service = served.service();
+    this.terms = served.terms();
+    this.deadline = served.deadline();
     this.state = state;
     this.followUp = followUp;
     this.attemptNumber = attemptNumber;
@@ -158,7 +158,7 @@
     }
     dialect
         .backoffMilliseconds(received.status(), received.headers())
-        .ifPresent(quiet -> context.availability().backoffRequested(runner, quiet));
+        .ifPresent(backoff -> context.availability().backoffRequested(runner, backoff));
   }
 
   @Override
@@ -270,7 +270,7 @@
   }
 
   private void scheduleStallCheck() {
-    long due = lastActivity + stallLimit() - MonotonicClock.milliseconds();
+    long due = lastActivity + stallTimeout() - MonotonicClock.milliseconds();
     stallTimer =
         context
             .vertx()
@@ -281,7 +281,7 @@
                     return;
                   }
                   long silent = MonotonicClock.milliseconds() - lastActivity;
-                  if (silent < stallLimit()) {
+                  if (silent < stallTimeout()) {
                     scheduleStallCheck();
                     return;
                   }
@@ -289,7 +289,7 @@
                 });
   }
 
-  private long stallLimit() {
+  private long stallTimeout() {
     long runnerSilent = context.selector().silentMilliseconds(runner.id());
     return StallTimeouts.milliseconds(route, began, deadline - lastActivity, runnerSilent);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
@@ -32,16 +32,16 @@
  */
 final class RequestExchange implements WaitingRequests.WaitingRequest {
   private static final Logger LOGGER = LogManager.getLogger(RequestExchange.class);
-  private static final long RESPONSE_MARGIN_MILLISECONDS =
-      15; // Transfer time of the response to the caller.
-  private static final long PLANNING_MILLISECONDS =
-      1_500; // Covers a demand report, a planning run and a load from disk.
+  // Transfer time of the response to the caller.
+  private static final long RESPONSE_MARGIN_MILLISECONDS = 15;
+  // Covers a demand report, a planning run and a load from disk.
+  private static final long PLANNING_MILLISECONDS = 1_500;
   private static final long FIRST_EVENT_MILLISECONDS = 250;
   private static final long ADAPTER_RETRY_MILLISECONDS = 80; // Covers several adapter loads.
-  private static final long MAXIMUM_QUOTA_WAIT_MILLISECONDS =
-      1_500; // Most holder failures are resolved within this time.
-  private static final double QUOTA_TIME_SHARE =
-      0.4; // The rest of the time is left for the response.
+  // Most holder failures are resolved within this time.
+  private static final long MAXIMUM_QUOTA_WAIT_MILLISECONDS = 1_500;
+  // The rest of the time is left for the response.
+  private static final double QUOTA_TIME_SHARE = 0.4;
   private static final int HIGHEST_PRIORITY = 0;
   private static final int LOWEST_PRIORITY = 9;
 
@@ -82,14 +82,14 @@
       AdmittedRequest admitted,
       Buffer content,
       long arrivedAt,
-      double draw) {
+      double randomValue) {
     this.context = context;
     this.request = request;
     this.response = new CallerResponse(request, context.headers(), context.leaving());
     this.table = admitted.table();
     this.route = admitted.route();
     this.account = admitted.account();
-    this.service = route.serviceFor(draw);
+    this.service = route.serviceFor(randomValue);
     this.terms = admitted.terms();
     this.content = content;
     this.arrivedAt = arrivedAt;
@@ -200,8 +200,8 @@
   }
 
   private void perform(RequestAction action) {
-    if (action instanceof RequestAction.Choose wanted) {
-      excluded = wanted.excluded();
+    if (action instanceof RequestAction.Choose choice) {
+      excluded = choice.excluded();
       selectRunner();
     } else if (action instanceof RequestAction.Send send) {
       send(send);
@@ -446,8 +446,8 @@
       if (quotaTaken) {
         refundQuota();
       }
-      long returnIn = ReturnAdvice.milliseconds(refusal.reason(), retryAfter);
-      response.refuse(refusal.reason(), CallerResponse.jittered(returnIn));
+      long retryMilliseconds = ReturnAdvice.milliseconds(refusal.reason(), retryAfter);
+      response.refuse(refusal.reason(), CallerResponse.jittered(retryMilliseconds));
       return "refused_" + refusal.reason();
     } else if (finalAction instanceof RequestAction.Fail failure) {
       response.fail(failure.reason());
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ResponseMemory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ResponseMemory.java
@@ -7,8 +7,8 @@
  * others, while responses of usual size always fit. Confined to one event loop.
  */
 final class ResponseMemory {
-  private static final int MAXIMUM_RESPONSE_BYTES =
-      16 * 1_048_576; // Far larger than any usual response.
+  // Far larger than any usual response.
+  private static final int MAXIMUM_RESPONSE_BYTES = 16 * 1_048_576;
   private static final long MAXIMUM_TOTAL_BYTES = 24L * 1_048_576; // A seventh of the usual heap.
   private static final int USUAL_RESPONSE_BYTES = 256 * 1_024;
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RetryBudgets.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RetryBudgets.java
@@ -13,8 +13,8 @@
  * together stay within it even during a partition. Confined to one event loop.
  */
 final class RetryBudgets {
-  private static final double SHARE_USED =
-      0.85; // Requests that never reach an instance do not count.
+  // Requests that never reach an instance do not count.
+  private static final double SHARE_USED = 0.85;
   private static final double RESERVE_USED = 0.8; // A restarted instance starts with a full share.
 
   private final ForwardingSettings.Terms terms;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerClient.java
@@ -18,10 +18,10 @@
  * the calling event loop. Confined to one event loop.
  */
 final class RunnerClient {
-  private static final long RESPONSE_TIMEOUT_MILLISECONDS =
-      350; // Five times the latency to the other region.
-  private static final long CALL_TIMEOUT_MILLISECONDS =
-      2 * RESPONSE_TIMEOUT_MILLISECONDS; // Also covers responses that arrive in small pieces.
+  // Five times the latency to the other region.
+  private static final long RESPONSE_TIMEOUT_MILLISECONDS = 350;
+  // Also covers responses that arrive in small pieces.
+  private static final long CALL_TIMEOUT_MILLISECONDS = 2 * RESPONSE_TIMEOUT_MILLISECONDS;
   private static final int MAXIMUM_RESPONSE_BYTES = 1_048_576; // A report of a thousand runs.
 
   private final HttpClient client;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -35,7 +35,7 @@
   private final StoredObjectDialect dialect;
   private final Map<String, RunnerEntry> entries = new HashMap<>();
   private final Map<String, JsonNode> contents = new HashMap<>();
-  private final Map<String, Long> lapsedAt = new HashMap<>();
+  private final Map<String, Long> expiredAt = new HashMap<>();
   private final Map<String, List<RunnerEntry>> usableByService = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
   private boolean storeAvailable = true;
@@ -75,7 +75,7 @@
   @Override
   public void changed(StoredObject object) {
     String id = object.key().name();
-    lapsedAt.remove(id);
+    expiredAt.remove(id);
     apply(id, object.content(), object.resourceVersion());
   }
 
@@ -88,7 +88,7 @@
       return;
     }
     if (mayReturn && !entry.draining()) {
-      lapsedAt.put(key.name(), now);
+      expiredAt.put(key.name(), now);
       LOGGER.info(
           "runner={} entry=lapsed store_returned_ms_ago={}",
           key.name(),
@@ -99,12 +99,12 @@
   }
 
   /** Removes runners whose expired entries were not rewritten in time. */
-  void dropLapsed(long now) {
-    if (lapsedAt.isEmpty() || !storeAvailable || now - storeReturnedAt < RETURN_MILLISECONDS) {
+  void removeExpired(long now) {
+    if (expiredAt.isEmpty() || !storeAvailable || now - storeReturnedAt < RETURN_MILLISECONDS) {
       return;
     }
-    List<String> gone = List.copyOf(lapsedAt.keySet());
-    lapsedAt.clear();
+    List<String> gone = List.copyOf(expiredAt.keySet());
+    expiredAt.clear();
     gone.forEach(id -> remove(id, "lapsed"));
   }
 
@@ -129,9 +129,9 @@
     // Cached because every request needs the list while entries rarely change.
     return usableByService.computeIfAbsent(
         service,
-        wanted ->
+        serviceName ->
             entries.values().stream()
-                .filter(entry -> entry.service().equals(wanted) && !entry.draining())
+                .filter(entry -> entry.service().equals(serviceName) && !entry.draining())
                 .toList());
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/SnapshotExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/SnapshotExchange.java
@@ -25,8 +25,8 @@
   // The local watch usually delivers a new version first.
   private static final long REQUEST_DELAY_MILLISECONDS = 400;
   private static final long RETRY_MILLISECONDS = 700;
-  private static final long RESPONSE_TIMEOUT_MILLISECONDS =
-      3_000; // Covers a large configuration on a slow link.
+  // Covers a large configuration on a slow link.
+  private static final long RESPONSE_TIMEOUT_MILLISECONDS = 3_000;
   private static final String NAME_FIELD = "name";
   private static final String CONTENT_FIELD = "content";
 
@@ -44,8 +44,8 @@
   }
 
   /** Requests snapshots from peers until configuration and runners are known. */
-  void start(ForwardingPeers known) {
-    peers = known;
+  void start(ForwardingPeers forwardingPeers) {
+    peers = forwardingPeers;
     vertx.setTimer(REQUEST_DELAY_MILLISECONDS, fired -> requestWhileIncomplete());
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/SuspensionDetector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/SuspensionDetector.java
@@ -7,8 +7,8 @@
  * step of the wall clock looks the same; it costs one read of the lease. Confined to one thread.
  */
 final class SuspensionDetector {
-  private static final long TOLERANCE_MILLISECONDS =
-      250; // The two clocks are not read at exactly the same time.
+  // The two clocks are not read at exactly the same time.
+  private static final long TOLERANCE_MILLISECONDS = 250;
 
   private long lastMonotonic;
   private long lastWall;
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -37,8 +37,8 @@
 class EngineControllerTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final long SLOW_ANSWER_MILLISECONDS = 300;
-  private static final long REPORT_AGE_MILLISECONDS =
-      250; // Per the specification, reports are some hundred milliseconds old.
+  // Per the specification, reports are some hundred milliseconds old.
+  private static final long REPORT_AGE_MILLISECONDS = 250;
   private static final int ACCEPTED = 202;
   private static final int CONFLICT = 409;
 
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -40,8 +40,8 @@
   private static final double WINDOW_SECONDS = 8;
   private static final double OVERAGE = 0.1;
   private static final double SLACK = 17_000;
-  private static final long DETECTION_MILLISECONDS =
-      2_500; // Time until a lost instance is detected.
+  // Time until a lost instance is detected.
+  private static final long DETECTION_MILLISECONDS = 2_500;
   private static final long REGION_MILLISECONDS = 30;
   private static final long LOCAL_MILLISECONDS = 2;
 
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -92,7 +92,7 @@
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     assertEquals(1, usable());
     long returned = MonotonicClock.milliseconds();
-    directory.dropLapsed(returned + RunnerDirectory.RETURN_MILLISECONDS + 1);
+    directory.removeExpired(returned + RunnerDirectory.RETURN_MILLISECONDS + 1);
     assertEquals(0, usable());
   }
 
@@ -103,7 +103,8 @@
     directory.availabilityChanged(true);
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     directory.changed(entry("a", "ready"));
-    directory.dropLapsed(MonotonicClock.milliseconds() + RunnerDirectory.RETURN_MILLISECONDS + 1);
+    directory.removeExpired(
+        MonotonicClock.milliseconds() + RunnerDirectory.RETURN_MILLISECONDS + 1);
     assertEquals(1, usable());
   }
 
