--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -60,8 +60,8 @@
   private boolean reading;
   private boolean sending;
   private boolean unloading;
-  private boolean
-      uncountedOrder; // An order that is not in the count took effect after the task began.
+  // An order that is not in the count took effect after the task began.
+  private boolean uncountedOrder;
   private boolean loadingFromStore;
 
   /** Provides the planner's lease grant and receives load events. */
@@ -82,7 +82,7 @@
   /**
    * Creates the controller of a runner whose state is not known yet.
    *
-   * @param outstanding loads that were orderAnswered from earlier processes of the runner
+   * @param outstanding loads that were ordered from earlier processes of the runner
    */
   EngineController(
       Vertx vertx,
@@ -277,12 +277,12 @@
     runnerClient
         .sendOrder(runner, dialect.encodeOrder(order))
         .whenComplete(
-            (answer, failure) -> {
+            (response, failure) -> {
               sending = false;
               // Reports requested before this response may be older than the order.
               lastOrderAt = MonotonicClock.milliseconds();
               OrderOutcome outcome =
-                  failure == null ? dialect.orderOutcome(answer.status()) : OrderOutcome.UNKNOWN;
+                  failure == null ? dialect.orderOutcome(response.status()) : OrderOutcome.UNKNOWN;
               if (outcome != OrderOutcome.UNKNOWN && task.action() == Action.LOAD) {
                 outstanding.answered(task.load());
               }
@@ -388,25 +388,27 @@
       return;
     }
     reading = true;
-    long askedAt = MonotonicClock.milliseconds();
+    long requestedAt = MonotonicClock.milliseconds();
     runnerClient
         .fetchReport(runner)
         .whenComplete(
-            (answer, failure) -> {
+            (response, failure) -> {
               reading = false;
               reportAt = MonotonicClock.milliseconds();
-              if (failure != null || answer.status() != SUCCESS) {
+              if (failure != null || response.status() != SUCCESS) {
                 LOGGER.debug("runner={} report not read", runner.id());
                 return;
               }
-              dialect.decodeReport(answer.body()).ifPresent(report -> applyReport(report, askedAt));
+              dialect
+                  .decodeReport(response.body())
+                  .ifPresent(report -> applyReport(report, requestedAt));
             });
   }
 
-  private void applyReport(RunnerReport report, long askedAt) {
+  private void applyReport(RunnerReport report, long requestedAt) {
     inHostMemory = report.inHostMemory();
     onDisk = report.onDisk();
-    boolean settled = askedAt - lastOrderAt >= REPORT_LAG_MILLISECONDS;
+    boolean settled = requestedAt - lastOrderAt >= REPORT_LAG_MILLISECONDS;
     if (!settled || sending) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -22,8 +22,10 @@
  * each other directly. Confined to one event loop.
  */
 final class LoadExchange {
-  /** Interval at which {@link #sendReports} must be called. */
-  // The backlog changes by a tenth of an objective in this time.
+  /**
+   * Interval at which {@link #sendReports} must be called. The backlog changes by a tenth of an
+   * objective in this time.
+   */
   static final long PERIOD_MILLISECONDS = 120;
 
   // With many neighbours each has a smaller share.
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -38,7 +38,7 @@
 final class ModelPlanner implements RunnerDirectory.Listener {
   private static final Logger LOGGER = LogManager.getLogger(ModelPlanner.class);
   private static final long TICK_MILLISECONDS = 200; // A fraction of the shortest load time.
-  // Limit of the weight stores according to their data sheets.
+  // Ratio of concurrent loads to loads per second of the weight stores in the data sheets.
   private static final double CONCURRENT_LOADS_PER_RATE = 3;
   private static final long STATE_LOG_MILLISECONDS = 1_000;
   private static final int RUNNERS_PER_SECOND_OF_LOG = 20; // Large fleets are logged less often.
--- a/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
@@ -15,8 +15,10 @@
  * one event loop.
  */
 final class OutstandingOrders {
-  /** How long after sending an order may still be executed. */
-  // The specification allows delays of seconds; benchmarks use twelve.
+  /**
+   * How long after sending an order may still be executed. The specification allows delays of
+   * seconds; benchmarks use twelve.
+   */
   static final long MAXIMUM_DELAY_MILLISECONDS = 13_000;
 
   private final Map<String, Long> pending = new HashMap<>();
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -308,8 +308,8 @@
     if (tokens > 0 && bucket.tryTake(tokens, now)) {
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
-    double shortfall = Math.max(0, TARGET_SHARE * bucket.capacity() - bucket.level(now));
-    double requested = bucket.lacking(tokens, now) + shortfall;
+    double refill = Math.max(0, TARGET_SHARE * bucket.capacity() - bucket.level(now));
+    double requested = bucket.lacking(tokens, now) + refill;
     if (lenders.isEmpty() || requested <= 0) {
       loanPausedUntil.put(account.name(), now + LOAN_PAUSE_MILLISECONDS);
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
@@ -62,7 +62,7 @@
   /**
    * Creates a source.
    *
-   * @param sources the relay instances to requestObjects instead of the store, best first
+   * @param sources the relay instances to query instead of the store, best first
    */
   RelayedObjectSource(
       Vertx vertx, ObjectSource store, Supplier<List<Instance>> sources, RequestSender sender) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
@@ -84,7 +84,7 @@
       return new Selection.NoRunner();
     }
     List<RunnerEntry> withModel =
-        usable.stream().filter(entry -> isAble(entry, prompt, now)).toList();
+        usable.stream().filter(entry -> servesPrompt(entry, prompt, now)).toList();
     if (withModel.isEmpty()) {
       return new Selection.ModelAbsent();
     }
@@ -167,7 +167,7 @@
     outliers.forget(id);
   }
 
-  private boolean isAble(RunnerEntry entry, Optional<PromptTerms> prompt, long now) {
+  private boolean servesPrompt(RunnerEntry entry, Optional<PromptTerms> prompt, long now) {
     return prompt.isEmpty() || presence.hasModel(entry, prompt.get().model(), now);
   }
 
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void connectionsOpenedAfterAStallMayCarryBytesFromBeforeIt() {
+  void connectionsOpenedAfterTheStallMayCarryBytesFromBeforeIt() {
     delay.timerScheduled(PERIOD);
     fire(2_000);
     assertEquals(PERIOD, delay.earliestArrival(2_050));
--- a/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void broadcastReachesEachInstanceOfALargeFailureDomainOnceThroughItsRelay() throws IOException {
+  void broadcastReachesEachInstanceOfLargeFailureDomainOnceThroughItsRelay() throws IOException {
     Member sender = new Member("sender", "small", List.of());
     members.add(sender);
     List<Address> seeds = List.of(sender.peers.self().peerAddress());
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void everyInstanceOfALargeDomainCountsEachRequestOfTheFleetOnce() {
+  void instancesOfLargeDomainsCountEachRequestOfTheFleetOnce() {
     startFleet(8);
     sendOneRequestEach();
     run(CONVERGENCE_MILLISECONDS);
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void everyInstanceOfASmallDomainCountsEachRequestOfTheFleetOnce() {
+  void instancesOfSmallDomainsCountEachRequestOfTheFleetOnce() {
     startFleet(3);
     sendOneRequestEach();
     run(CONVERGENCE_MILLISECONDS);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
@@ -9,7 +9,7 @@
   private final OutstandingOrders orders = new OutstandingOrders();
 
   @Test
-  void unansweredOrderCountsAfterARestartUntilItCanNoLongerTakeEffect() {
+  void unansweredOrderCountsAfterRestartUntilItCanNoLongerTakeEffect() {
     orders.sent("m1", 1_000);
     assertEquals(Set.of(), orders.models(1_000));
     orders.runnerRestarted();
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void answeredOrderNoLongerCountsEvenIfTheResponseArrivedAfterARestart() {
+  void answeredOrderNoLongerCountsEvenIfTheResponseArrivedAfterTheRestart() {
     orders.sent("m1", 0);
     orders.sent("m2", 0);
     orders.answered("m1");
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void entryExpiredDuringAStoreOutageRemainsUntilItCouldBeRewritten() {
+  void entryExpiredDuringStoreOutageRemainsUntilItCouldBeRewritten() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/StallTimeoutsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/StallTimeoutsTest.java
@@ -25,14 +25,14 @@
           List.of(new WeightedService("s", 1)));
 
   @Test
-  void runnerThatSendsDataForOtherRequestsGetsALongerTimeout() {
+  void runnerThatSendsDataForOtherRequestsGetsMoreTime() {
     long busy = StallTimeouts.milliseconds(STREAM, false, 5_000, 100);
     long lost = StallTimeouts.milliseconds(STREAM, false, 5_000, 2_000);
     assertTrue(busy > lost, busy + " and " + lost);
   }
 
   @Test
-  void timeoutOfALostRunnerLeavesTimeForAnotherAttempt() {
+  void timeoutOfLostRunnerLeavesTimeForAnotherAttempt() {
     assertTrue(StallTimeouts.milliseconds(STREAM, false, 5_000, 2_000) <= 2_500);
   }
 
