--- a/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
@@ -26,10 +26,10 @@
 /**
  * Reads the store's objects from instances that watch the store, or from the store itself.
  *
- * <p>Store calls are counted and charged, so that not every instance of a large fleet may watch the
- * store. The relay sources are tried in order; the store is read if there are none, or if none
- * responds, and then at most once per {@link #STORE_PAUSE_MILLISECONDS}. Any failure of a source
- * ends the watch with {@code VERSION_GONE}, so that the next list selects a source again.
+ * <p>Every call of the store is counted and charged, which rules out a watch by each instance of a
+ * large fleet. The relay sources are tried in order; the store is read if there are none, or if
+ * none responds, and then at most once per {@link #STORE_PAUSE_MILLISECONDS}. Any failure of a
+ * source ends the watch with {@code VERSION_GONE}, so that the next list selects a source again.
  * Invariant: an instance that watches the store itself switches back to relays within {@link
  * #STORE_WATCH_MILLISECONDS} after they are available. Safe for use by any thread.
  */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -48,9 +48,9 @@
   /** Records a response in which a runner rejected a request and asked for a backoff. */
   void backoffRequested(RunnerEntry runner, long milliseconds) {
     long now = MonotonicClock.milliseconds();
-    boolean previous = backoffUntil(runner, now) > now;
+    boolean alreadyBackingOff = backoffUntil(runner, now) > now;
     recordBackoff(runner.id(), runner.bornMilliseconds(), now + milliseconds);
-    if (!previous) {
+    if (!alreadyBackingOff) {
       broadcast.accept(
           new PeerMessage.RunnerNotice(
               runner.id(), runner.bornMilliseconds(), OptionalLong.empty(), milliseconds));
@@ -68,8 +68,8 @@
   }
 
   boolean isLeaving(RunnerEntry runner) {
-    Leaving previous = leaving.get(runner.id());
-    return previous != null && previous.bornMilliseconds() == runner.bornMilliseconds();
+    Leaving recorded = leaving.get(runner.id());
+    return recorded != null && recorded.bornMilliseconds() == runner.bornMilliseconds();
   }
 
   /**
@@ -77,9 +77,9 @@
    * if it already does.
    */
   long backoffUntil(RunnerEntry runner, long now) {
-    Backoff previous = backoffs.get(runner.id());
-    boolean current = previous != null && previous.bornMilliseconds() == runner.bornMilliseconds();
-    return current ? previous.untilMilliseconds() : now;
+    Backoff recorded = backoffs.get(runner.id());
+    boolean current = recorded != null && recorded.bornMilliseconds() == runner.bornMilliseconds();
+    return current ? recorded.untilMilliseconds() : now;
   }
 
   /** Removes a runner that no longer exists. */
@@ -89,8 +89,8 @@
   }
 
   private void recordLeaving(String runner, long processStart, long since) {
-    Leaving previous = leaving.get(runner);
-    if (previous != null && previous.bornMilliseconds() >= processStart) {
+    Leaving recorded = leaving.get(runner);
+    if (recorded != null && recorded.bornMilliseconds() >= processStart) {
       return;
     }
     leaving.put(runner, new Leaving(processStart, since));
@@ -102,11 +102,11 @@
   }
 
   private void recordBackoff(String runner, long processStart, long until) {
-    Backoff previous = backoffs.get(runner);
+    Backoff recorded = backoffs.get(runner);
     boolean longer =
-        previous != null
-            && previous.bornMilliseconds() == processStart
-            && previous.untilMilliseconds() >= until;
+        recorded != null
+            && recorded.bornMilliseconds() == processStart
+            && recorded.untilMilliseconds() >= until;
     if (longer) {
       return;
     }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -53,9 +53,8 @@
   private long now;
   private long scheduled;
   private int refused;
-  private double
-      refundedShare; // Share of the granted requests that are refunded because they were refused
-  // for another reason.
+  // Share of the granted requests that are refunded because they were refused for another reason.
+  private double refundedShare;
   private boolean withinQuota; // Whether the account requests no more than its quota allows.
   private QuotaBucket allowance; // The quota without any tolerance.
 
