--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPresence.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPresence.java
@@ -88,7 +88,7 @@
     return reported && (missing == null || now - missing >= MODEL_ABSENCE_MILLISECONDS);
   }
 
-  /** Removes expired doubts and the announcements that the runner's entry now confirms. */
+  /** Removes expired absences and the announcements that the runner's entry now confirms. */
   void entryChanged(RunnerEntry entry, long now) {
     modelsMissingAt
         .getOrDefault(entry.id(), new HashMap<>())
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PeriodicTasks.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PeriodicTasks.java
@@ -39,8 +39,8 @@
    * @param action receives the monotonic time in milliseconds
    */
   void every(long milliseconds, LongConsumer action) {
-    long period = (milliseconds + timerMilliseconds - 1) / timerMilliseconds;
-    tasks.add(new Task(Math.max(1, period), action));
+    long firingsPerRun = (milliseconds + timerMilliseconds - 1) / timerMilliseconds;
+    tasks.add(new Task(Math.max(1, firingsPerRun), action));
   }
 
   /** Schedules the next timer firing. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
@@ -65,13 +65,13 @@
     void headReceived(UpstreamResponse head);
 
     /** Called when the runner has not run the request and never will. */
-    void rejected(ResponseKind kind, UpstreamResponse answer);
+    void rejected(ResponseKind kind, UpstreamResponse response);
 
     /** Called when the request may have run; the response is present if it can be forwarded. */
-    void failed(String cause, Optional<UpstreamResponse> answer);
+    void failed(String cause, Optional<UpstreamResponse> response);
 
     /** Called with a complete successful response. */
-    void responseReceived(UpstreamResponse answer);
+    void responseReceived(UpstreamResponse response);
 
     /** Called with a complete event of a stream. */
     void eventReceived(UpstreamResponse head, EventStreamSplitter.Event event);
@@ -157,8 +157,8 @@
     }
     opened.headers().setAll(headers.get());
     opened.exceptionHandler(this::abort);
-    opened.continueHandler(interim -> interim());
-    opened.earlyHintsHandler(interim -> interim());
+    opened.continueHandler(interim -> countInterimResponse());
+    opened.earlyHintsHandler(interim -> countInterimResponse());
     opened.response().onSuccess(this::receive).onFailure(this::abort);
     opened.end(content).onFailure(this::abort);
   }
@@ -219,7 +219,7 @@
     checkMemory(body.length());
   }
 
-  private void interim() {
+  private void countInterimResponse() {
     interimResponses++;
     if (interimResponses > MAXIMUM_INTERIM_RESPONSES) {
       abort(new IOException("too many interim responses"));
