--- a/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
+++ b/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
@@ -79,7 +79,7 @@
   @Test
   void lowerRateCountsAtOnce() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
-    bucket.reshape(new TokenRate(10, 200), 10_000);
+    bucket.setRate(new TokenRate(10, 200), 10_000);
     assertFalse(bucket.tryTake(201 + 100, 10_000) && bucket.tryTake(100, 10_000));
     assertEquals(200, new QuotaBucket(RATE, 0).lend(200, 10_000));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/AgatefieldMain.java
+++ b/daemon/src/main/java/org/agatefield/daemon/AgatefieldMain.java
@@ -10,7 +10,7 @@
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.settings.DaemonSettings;
 import org.agatefield.settings.SettingsException;
 import org.agatefield.settings.SettingsReader;
@@ -40,22 +40,22 @@
 
   /** Parses the command line and runs the daemon until it is asked to end. */
   public static void main(String[] arguments) {
-    run(arguments, StepHook.NONE);
+    run(arguments, FailPointHook.NONE);
   }
 
   /**
    * Runs the daemon with a hook that is told of its steps.
    *
-   * @param hook {@link StepHook#NONE} outside tests
+   * @param hook {@link FailPointHook#NONE} outside tests
    */
-  public static void run(String[] arguments, StepHook hook) {
+  public static void run(String[] arguments, FailPointHook hook) {
     ExitCode code = new AgatefieldMain().parseAndRun(arguments, hook);
     if (code != ExitCode.SUCCESS) {
       System.exit(code.number());
     }
   }
 
-  private ExitCode parseAndRun(String[] arguments, StepHook hook) {
+  private ExitCode parseAndRun(String[] arguments, FailPointHook hook) {
     SingleCommand<AgatefieldMain> parser = SingleCommand.singleCommand(AgatefieldMain.class);
     AgatefieldMain parsed;
     try {
@@ -101,7 +101,7 @@
     return ExitCode.SUCCESS;
   }
 
-  private static ExitCode runDaemon(Path file, StepHook hook) {
+  private static ExitCode runDaemon(Path file, FailPointHook hook) {
     DaemonSettings settings;
     try {
       settings = new SettingsReader().read(file.toString(), Files.readString(file));
--- a/daemon/src/main/java/org/agatefield/daemon/CountingInvariantMonitor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/CountingInvariantMonitor.java
@@ -18,17 +18,17 @@
 final class CountingInvariantMonitor implements InvariantMonitor {
   private static final Logger LOGGER = LogManager.getLogger(CountingInvariantMonitor.class);
 
-  private final Map<Promise, Counter> counters = new EnumMap<>(Promise.class);
+  private final Map<Invariant, Counter> counters = new EnumMap<>(Invariant.class);
 
   CountingInvariantMonitor(MetricRegistry metrics) {
-    for (Promise promise : Promise.values()) {
+    for (Invariant promise : Invariant.values()) {
       String name = promise.name().toLowerCase(Locale.ROOT);
       counters.put(promise, metrics.counter("agatefield.violations." + name));
     }
   }
 
   @Override
-  public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+  public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
     if (holds) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/Daemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/Daemon.java
@@ -13,27 +13,27 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.agatefield.daemon.calls.CallLimits;
 import org.agatefield.daemon.calls.ClaimSweeper;
-import org.agatefield.daemon.calls.StoreBackedCalls;
-import org.agatefield.daemon.configuration.ConfigurationKeeper;
+import org.agatefield.daemon.calls.StoreBackedCallExecutor;
+import org.agatefield.daemon.configuration.ConfigurationManager;
 import org.agatefield.daemon.core.DemandSource;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.dispatch.BoundedAdapterLoader;
 import org.agatefield.daemon.dispatch.HomeEntryDirectory;
 import org.agatefield.daemon.dispatch.RoutingDispatcher;
 import org.agatefield.daemon.http.CallerApi;
-import org.agatefield.daemon.http.CallerApiParts;
+import org.agatefield.daemon.http.CallerApiDependencies;
 import org.agatefield.daemon.http.HttpOutcomeQuery;
 import org.agatefield.daemon.http.InvalidRequestHandler;
 import org.agatefield.daemon.http.ShutdownCoordinator;
-import org.agatefield.daemon.leases.LeaseDuty;
+import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.daemon.operate.OperatorApi;
-import org.agatefield.daemon.operate.OperatorParts;
-import org.agatefield.daemon.peers.PeerDuty;
+import org.agatefield.daemon.operate.OperatorApiDependencies;
+import org.agatefield.daemon.peers.PeerCoordinator;
 import org.agatefield.daemon.placing.LedgerDirectory;
-import org.agatefield.daemon.placing.PlacementDuty;
-import org.agatefield.daemon.placing.PlacementParts;
-import org.agatefield.daemon.placing.PlacementTerms;
+import org.agatefield.daemon.placing.PlacementController;
+import org.agatefield.daemon.placing.PlacementContext;
+import org.agatefield.daemon.placing.PlacementTimings;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.engine.EngineClientOptions;
 import org.agatefield.engine.HttpEngineClient;
@@ -66,7 +66,7 @@
   private static final String CLAIM_SWEEPER_LEASE = "claim-sweeper";
   private static final Duration CLAIM_SWEEP_INTERVAL = Duration.ofMinutes(1);
   private static final Duration LEASE_DURATION = Duration.ofSeconds(6);
-  private static final Duration SPREAD_ALLOWANCE = Duration.ofSeconds(2);
+  private static final Duration PROPAGATION_ALLOWANCE = Duration.ofSeconds(2);
   private static final double REQUESTS_PER_SECOND_PER_HOME = 50;
   private static final int MINIMUM_HOMES = 2;
   private static final int EVENT_LOOPS = 2;
@@ -76,20 +76,20 @@
   private final MetricRegistry metrics = new MetricRegistry();
   private final InvariantMonitor monitor = new CountingInvariantMonitor(metrics);
   private final DaemonSettings settings;
-  private final StepHook hook;
+  private final FailPointHook hook;
   private final Vertx vertx;
   private final ObjectStore store;
   private final EngineClient engines;
-  private final ConfigurationKeeper configuration;
+  private final ConfigurationManager configuration;
   private final LedgerDirectory ledgers;
-  private PeerDuty peers;
+  private PeerCoordinator peers;
   private RoutingDispatcher dispatcher;
-  private StoreBackedCalls calls;
+  private StoreBackedCallExecutor calls;
   private ShutdownCoordinator shutdown;
-  private LeaseDuty plannerLease;
+  private LeaseManager plannerLease;
   private final AtomicReference<DemandSource> localDemand = new AtomicReference<>(List::of);
 
-  Daemon(DaemonSettings settings, StepHook hook) {
+  Daemon(DaemonSettings settings, FailPointHook hook) {
     this.settings = settings;
     this.hook = hook;
     DaemonSettings.Platform platform = settings.platform();
@@ -105,7 +105,7 @@
     engines = engineClient;
     configuration =
         closer.register(
-            new ConfigurationKeeper(vertx, store, platform.pollInterval(), metrics, monitor, hook));
+            new ConfigurationManager(vertx, store, platform.pollInterval(), metrics, monitor, hook));
     ledgers =
         closer.register(
             new LedgerDirectory(vertx, store, platform.pollInterval(), configuration, engines));
@@ -137,7 +137,7 @@
             InstanceState.LIVE);
     peers =
         closer.register(
-            new PeerDuty(
+            new PeerCoordinator(
                 self,
                 settings.peers(),
                 settings.tls().map(TlsSetup::forPeers),
@@ -162,7 +162,7 @@
     CallLimits callLimits = CallLimits.withRetention(limits.claimRetention());
     calls =
         closer.register(
-            new StoreBackedCalls(
+            new StoreBackedCallExecutor(
                 vertx,
                 store,
                 peers,
@@ -171,16 +171,16 @@
                 hook,
                 monitor,
                 metrics));
-    LeaseDuty sweeperLease =
+    LeaseManager sweeperLease =
         closer.register(
-            new LeaseDuty(vertx, store, CLAIM_SWEEPER_LEASE, instanceId, LEASE_DURATION));
+            new LeaseManager(vertx, store, CLAIM_SWEEPER_LEASE, instanceId, LEASE_DURATION));
     closer.register(
         new ClaimSweeper(vertx, store, sweeperLease, callLimits, CLAIM_SWEEP_INTERVAL, metrics));
     shutdown =
         new ShutdownCoordinator(
             vertx,
             limits.entryTimeToLive(),
-            SPREAD_ALLOWANCE,
+            PROPAGATION_ALLOWANCE,
             limits.drainTimeout(),
             calls::runningCalls,
             monitor);
@@ -188,9 +188,9 @@
 
   private void startPlanner(String instanceId) {
     plannerLease =
-        closer.register(new LeaseDuty(vertx, store, PLANNER_LEASE, instanceId, LEASE_DURATION));
-    PlacementParts parts =
-        new PlacementParts(
+        closer.register(new LeaseManager(vertx, store, PLANNER_LEASE, instanceId, LEASE_DURATION));
+    PlacementContext parts =
+        new PlacementContext(
             vertx,
             store,
             engines,
@@ -202,32 +202,32 @@
             metrics,
             hook);
     DaemonSettings.Limits limits = settings.limits();
-    PlacementTerms terms =
-        PlacementTerms.standard(limits.orderQuarantine(), limits.defaultDeadline());
+    PlacementTimings terms =
+        PlacementTimings.standard(limits.orderQuarantine(), limits.defaultDeadline());
     closer.register(
-        new PlacementDuty(parts, terms, new GainPlacement(GainSettings.standard())).start());
+        new PlacementController(parts, terms, new GainPlacement(GainSettings.standard())).start());
   }
 
   private Router routes() {
     Router router = Router.router(vertx);
     router.get("/metrics").handler(new MetricsHandler(metrics));
-    OperatorParts operatorParts =
-        new OperatorParts(
+    OperatorApiDependencies operatorApiDependencies =
+        new OperatorApiDependencies(
             configuration, peers, ledgers, plannerLease, monitor, this::drainOnRequest);
-    new OperatorApi(operatorParts, settings.operatorTokenSha256()).mount(router);
+    new OperatorApi(operatorApiDependencies, settings.operatorTokenSha256()).mount(router);
     router.get("/operator/explain/request").handler(new RequestExplanationRoute(dispatcher));
-    new CallerApi(callerApiParts()).mount(router);
+    new CallerApi(callerApiDependencies()).mount(router);
     return router;
   }
 
-  private CallerApiParts callerApiParts() {
+  private CallerApiDependencies callerApiDependencies() {
     HomeEntryDirectory entries =
         new HomeEntryDirectory(
             peers,
             new HomeInstances(REQUESTS_PER_SECOND_PER_HOME, MINIMUM_HOMES),
             this::requestsPerSecond,
             settings.limits().entryTimeToLive());
-    return new CallerApiParts(
+    return new CallerApiDependencies(
         vertx,
         configuration,
         dispatcher,
@@ -281,7 +281,7 @@
 
   /** Finishes what runs, then closes everything; returns whether no request was cut. */
   boolean shutDownGracefully() {
-    boolean complete = shutdown.beginLeaving(peers::leave).join();
+    boolean complete = shutdown.beginShutdown(peers::leave).join();
     LOGGER.info("leaving complete={} violations={}", complete, monitor.violations());
     closer.close();
     return complete;
--- a/daemon/src/main/java/org/agatefield/daemon/calls/CallParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/CallContext.java
@@ -2,14 +2,14 @@
 
 import io.vertx.core.Vertx;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 
 /** What all executions of an instance share. Immutable. */
-record CallParts(
+record CallContext(
     Vertx vertx,
     ClaimStore claims,
     ClaimRemover remover,
-    HolderJudge holders,
+    HolderStateEvaluator holders,
     OutcomeQuery outcomes,
-    StepHook hook,
+    FailPointHook hook,
     InvariantMonitor monitor) {}
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimCodec.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimCodec.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.Claim;
 
 /**
@@ -27,7 +27,7 @@
   private ClaimCodec() {}
 
   /** Returns the content of a claim without an outcome. */
-  static ObjectNode encode(Claim<ServiceExchange> claim) {
+  static ObjectNode encode(Claim<ServiceResponse> claim) {
     return JsonNodeFactory.instance
         .objectNode()
         .put(ATTEMPT, claim.attemptId())
@@ -39,7 +39,7 @@
   }
 
   /** Returns the content of a claim whose outcome is lost. */
-  static ObjectNode encodeLost(Claim<ServiceExchange> claim) {
+  static ObjectNode encodeLost(Claim<ServiceResponse> claim) {
     ObjectNode content = encode(claim);
     content.putObject("outcome").put("state", "LOST");
     return content;
@@ -47,12 +47,12 @@
 
   /** Returns the content of a claim with an answer, whose body lies in parts if there are any. */
   static ObjectNode encodeAnswered(
-      Claim<ServiceExchange> claim, ServiceExchange answer, int parts) {
+      Claim<ServiceResponse> claim, ServiceResponse answer, int parts) {
     ObjectNode content = encode(claim);
     ObjectNode outcome = content.putObject("outcome");
     outcome.put("state", "ANSWERED").put("status", answer.status());
     ArrayNode headers = outcome.putArray("headers");
-    for (ServiceExchange.Header header : answer.headers()) {
+    for (ServiceResponse.Header header : answer.headers()) {
       headers.addArray().add(header.name()).add(header.value());
     }
     if (parts == 0) {
@@ -64,7 +64,7 @@
   }
 
   /** Returns the content of a part of a body. */
-  static ObjectNode encodePart(Claim<ServiceExchange> claim, Buffer part) {
+  static ObjectNode encodePart(Claim<ServiceResponse> claim, Buffer part) {
     return JsonNodeFactory.instance
         .objectNode()
         .put(ATTEMPT, claim.attemptId())
@@ -96,7 +96,7 @@
    *
    * @param parts the joined parts of the body; empty if it lies in the claim
    */
-  static Claim<ServiceExchange> decode(JsonNode content, Optional<Buffer> parts) {
+  static Claim<ServiceResponse> decode(JsonNode content, Optional<Buffer> parts) {
     return new Claim<>(
         content.path(ATTEMPT).asText(),
         content.path("holder").asText(),
@@ -107,7 +107,7 @@
         decodeOutcome(content.path("outcome"), parts));
   }
 
-  private static Optional<Claim.Outcome<ServiceExchange>> decodeOutcome(
+  private static Optional<Claim.Outcome<ServiceResponse>> decodeOutcome(
       JsonNode outcome, Optional<Buffer> parts) {
     return switch (outcome.path("state").asText()) {
       case "" -> Optional.empty();
@@ -116,12 +116,12 @@
     };
   }
 
-  private static ServiceExchange decodeAnswer(JsonNode outcome, Optional<Buffer> parts) {
-    List<ServiceExchange.Header> headers = new ArrayList<>();
+  private static ServiceResponse decodeAnswer(JsonNode outcome, Optional<Buffer> parts) {
+    List<ServiceResponse.Header> headers = new ArrayList<>();
     for (JsonNode header : outcome.path("headers")) {
-      headers.add(new ServiceExchange.Header(header.path(0).asText(), header.path(1).asText()));
+      headers.add(new ServiceResponse.Header(header.path(0).asText(), header.path(1).asText()));
     }
     Buffer body = parts.orElseGet(() -> bodyOf(outcome));
-    return new ServiceExchange(outcome.path("status").asInt(), headers, body);
+    return new ServiceResponse(outcome.path("status").asInt(), headers, body);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -11,10 +11,10 @@
 import org.agatefield.daemon.core.Dispatcher;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.Step;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimAction;
 import org.agatefield.idempotency.ClaimEvent;
@@ -44,34 +44,34 @@
   private static final long SHORTEST_RETRY_AFTER_MILLISECONDS = 500;
   private static final long LONGEST_RETRY_AFTER_MILLISECONDS = 2_000;
 
-  private final CallParts parts;
+  private final CallContext parts;
   private final NonRepeatableCall call;
   private final ServiceRequest request;
   private final Dispatcher dispatcher;
   private final NonRepeatableCall.Sender sender;
   private final String name;
-  private final Arrival arrival;
-  private final Claim<ServiceExchange> claim;
+  private final CallAttempt arrival;
+  private final Claim<ServiceResponse> claim;
   private final Consumer<ClaimExecution> over;
-  private final ClaimProtocol<ServiceExchange> protocol = new ClaimProtocol<>();
-  private final CompletableFuture<ServiceExchange> reply = new CompletableFuture<>();
+  private final ClaimProtocol<ServiceResponse> protocol = new ClaimProtocol<>();
+  private final CompletableFuture<ServiceResponse> reply = new CompletableFuture<>();
   private final Backoff polls = new Backoff(FIRST_POLL_DELAY, LONGEST_POLL_DELAY);
   private final AtomicInteger permittedSends = new AtomicInteger(1);
-  private ClaimState<ServiceExchange> state = ClaimState.arrived();
+  private ClaimState<ServiceResponse> state = ClaimState.arrived();
   private Optional<Dispatch> dispatch = Optional.empty();
   private Optional<StoredClaim> lastRead = Optional.empty();
   private Optional<StoredClaim> own = Optional.empty();
   private boolean createUnknown;
 
   ClaimExecution(
-      CallParts parts,
+      CallContext parts,
       NonRepeatableCall call,
       ServiceRequest request,
       Dispatcher dispatcher,
       NonRepeatableCall.Sender sender,
       String name,
-      Arrival arrival,
-      Claim<ServiceExchange> claim,
+      CallAttempt arrival,
+      Claim<ServiceResponse> claim,
       Consumer<ClaimExecution> over) {
     this.parts = parts;
     this.call = call;
@@ -89,14 +89,14 @@
   }
 
   /** Returns the answer to the caller. */
-  CompletableFuture<ServiceExchange> reply() {
+  CompletableFuture<ServiceResponse> reply() {
     return reply;
   }
 
   /** Returns whether a claim of this arrival may be in the store without its outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, ASKING_FOR_OWN, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING -> true;
       default -> false;
     };
   }
@@ -109,9 +109,9 @@
     }
   }
 
-  private void feed(ClaimEvent<ServiceExchange> event) {
+  private void feed(ClaimEvent<ServiceResponse> event) {
     try {
-      ClaimStep<ServiceExchange> step;
+      ClaimStep<ServiceResponse> step;
       synchronized (this) {
         step = protocol.next(state, event, arrival, System.nanoTime());
         state = step.state();
@@ -126,9 +126,9 @@
    * Carries a step out. An arrival that is over is forgotten before its caller is answered, so that
    * a retry that follows the answer does not join it.
    */
-  private void carryOut(ClaimStep<ServiceExchange> step) {
+  private void carryOut(ClaimStep<ServiceResponse> step) {
     boolean ends = step.state().phase() == ClaimState.Phase.DONE;
-    for (ClaimAction<ServiceExchange> action : step.actions()) {
+    for (ClaimAction<ServiceResponse> action : step.actions()) {
       if (ends && isAnswer(action)) {
         over.accept(this);
       }
@@ -139,10 +139,10 @@
     }
   }
 
-  private static boolean isAnswer(ClaimAction<ServiceExchange> action) {
+  private static boolean isAnswer(ClaimAction<ServiceResponse> action) {
     return action instanceof ClaimAction.Reply
         || action instanceof ClaimAction.Refuse
-        || action instanceof ClaimAction.RefuseWith;
+        || action instanceof ClaimAction.RefuseWithError;
   }
 
   /** Gives the arrival up after a fault; a claim stays, so that the call is never run again. */
@@ -153,47 +153,47 @@
     over.accept(this);
   }
 
-  private void perform(ClaimAction<ServiceExchange> action) {
+  private void perform(ClaimAction<ServiceResponse> action) {
     if (action instanceof ClaimAction.Read) {
       parts.claims().read(name).whenComplete(this::readCompleted);
     } else if (action instanceof ClaimAction.Acquire) {
       dispatcher.acquire(request).whenComplete(this::acquired);
     } else if (action instanceof ClaimAction.Reacquire) {
       reacquire();
-    } else if (action instanceof ClaimAction.GiveBack) {
+    } else if (action instanceof ClaimAction.ReleaseUpstream) {
       finishDispatch(DispatchOutcome.CANCELLED);
     } else if (action instanceof ClaimAction.Create) {
       create();
-    } else if (action instanceof ClaimAction.Resume) {
+    } else if (action instanceof ClaimAction.CheckDeadline) {
       resume();
     } else if (action instanceof ClaimAction.Send) {
       send();
     } else if (action instanceof ClaimAction.PollLater) {
       parts.vertx().setTimer(polls.nextMilliseconds(), fired -> feed(new ClaimEvent.PollDue<>()));
-    } else if (action instanceof ClaimAction.AskService) {
+    } else if (action instanceof ClaimAction.QueryService) {
       parts.outcomes().ask(call).whenComplete(this::asked);
     } else {
       performEnd(action);
     }
   }
 
-  private void performEnd(ClaimAction<ServiceExchange> action) {
-    if (action instanceof ClaimAction.Record<ServiceExchange> write) {
+  private void performEnd(ClaimAction<ServiceResponse> action) {
+    if (action instanceof ClaimAction.Record<ServiceResponse> write) {
       recordOutcome(write.outcome());
-    } else if (action instanceof ClaimAction.RecordFor<ServiceExchange> write) {
+    } else if (action instanceof ClaimAction.RecordForOther<ServiceResponse> write) {
       recordFor(write);
     } else if (action instanceof ClaimAction.Remove) {
       parts.remover().remove(name, arrival.attemptId(), createUnknown);
     } else if (action instanceof ClaimAction.RemoveFound) {
       parts
           .remover()
-          .<ServiceExchange>removeFound(lastRead.orElseThrow().object())
+          .<ServiceResponse>removeFound(lastRead.orElseThrow().object())
           .thenAccept(this::feed);
-    } else if (action instanceof ClaimAction.Reply<ServiceExchange> answer) {
+    } else if (action instanceof ClaimAction.Reply<ServiceResponse> answer) {
       reply.complete(answer.answer());
-    } else if (action instanceof ClaimAction.Refuse<ServiceExchange> refusal) {
+    } else if (action instanceof ClaimAction.Refuse<ServiceResponse> refusal) {
       refuse(refusal);
-    } else if (action instanceof ClaimAction.RefuseWith<ServiceExchange> refusal) {
+    } else if (action instanceof ClaimAction.RefuseWithError<ServiceResponse> refusal) {
       reply.completeExceptionally(AgatefieldException.from(refusal.error()));
     }
   }
@@ -207,7 +207,7 @@
       feed(new ClaimEvent.Absent<>());
       return;
     }
-    Claim<ServiceExchange> seen = found.get().claim();
+    Claim<ServiceResponse> seen = found.get().claim();
     synchronized (this) {
       lastRead = found;
       if (seen.attemptId().equals(arrival.attemptId())) {
@@ -238,7 +238,7 @@
   }
 
   private void create() {
-    parts.hook().reached(Step.BEFORE_CLAIM, call.key());
+    parts.hook().reached(FailPoint.BEFORE_CLAIM, call.key());
     parts.claims().create(name, claim).whenComplete(this::created);
   }
 
@@ -264,8 +264,8 @@
   }
 
   private void resume() {
-    parts.hook().reached(Step.AFTER_CLAIM, call.key());
-    feed(new ClaimEvent.Resumed<>());
+    parts.hook().reached(FailPoint.AFTER_CLAIM, call.key());
+    feed(new ClaimEvent.DeadlineCheckDue<>());
   }
 
   private void send() {
@@ -274,7 +274,7 @@
     parts
         .monitor()
         .check(
-            InvariantMonitor.Promise.AT_MOST_ONCE,
+            InvariantMonitor.Invariant.AT_MOST_ONCE,
             permitted,
             () -> "send of attempt " + arrival.attemptId() + " that is over, key " + call.key());
     if (!permitted) {
@@ -289,10 +289,10 @@
         name,
         arrival.attemptId());
     sender.send(chosen.upstream().address()).whenComplete(this::sent);
-    parts.hook().reached(Step.AFTER_SEND, call.key());
+    parts.hook().reached(FailPoint.AFTER_SEND, call.key());
   }
 
-  private void sent(ServiceExchange answer, Throwable failure) {
+  private void sent(ServiceResponse answer, Throwable failure) {
     if (failure == null) {
       finishDispatch(DispatchOutcome.SUCCEEDED);
       feed(new ClaimEvent.Answered<>(answer));
@@ -308,27 +308,27 @@
     feed(new ClaimEvent.SendFailed<>(error.runState(), error));
   }
 
-  private void asked(Optional<ServiceExchange> answer, Throwable failure) {
+  private void asked(Optional<ServiceResponse> answer, Throwable failure) {
     if (failure == null && answer.isPresent()) {
-      feed(new ClaimEvent.OutcomeLearnt<>(answer.get()));
+      feed(new ClaimEvent.OutcomeReceived<>(answer.get()));
     } else {
-      feed(new ClaimEvent.OutcomeNotLearnt<>());
+      feed(new ClaimEvent.OutcomeUnavailable<>());
     }
   }
 
-  private void recordOutcome(Claim.Outcome<ServiceExchange> outcome) {
-    parts.hook().reached(Step.BEFORE_OUTCOME, call.key());
+  private void recordOutcome(Claim.Outcome<ServiceResponse> outcome) {
+    parts.hook().reached(FailPoint.BEFORE_OUTCOME, call.key());
     new OutcomeRecorder(
             parts.vertx(), parts.claims(), parts.monitor(), () -> feed(new ClaimEvent.Recorded<>()))
         .start(own.orElseThrow(), outcome);
   }
 
-  private void recordFor(ClaimAction.RecordFor<ServiceExchange> write) {
-    Claim.Outcome<ServiceExchange> outcome = new Claim.Outcome<>(Optional.of(write.answer()));
+  private void recordFor(ClaimAction.RecordForOther<ServiceResponse> write) {
+    Claim.Outcome<ServiceResponse> outcome = new Claim.Outcome<>(Optional.of(write.answer()));
     parts.claims().record(lastRead.orElseThrow(), outcome, arrival.attemptId());
   }
 
-  private void refuse(ClaimAction.Refuse<ServiceExchange> refusal) {
+  private void refuse(ClaimAction.Refuse<ServiceResponse> refusal) {
     long delay =
         ThreadLocalRandom.current()
             .nextLong(SHORTEST_RETRY_AFTER_MILLISECONDS, LONGEST_RETRY_AFTER_MILLISECONDS);
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimStore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimStore.java
@@ -3,7 +3,7 @@
 import io.vertx.core.buffer.Buffer;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.store.ObjectKey;
 import org.agatefield.store.ObjectKind;
@@ -48,7 +48,7 @@
   }
 
   /** Creates a claim; an unknown result is not resolved here, the protocol does that. */
-  CompletableFuture<StoredClaim> create(String name, Claim<ServiceExchange> claim) {
+  CompletableFuture<StoredClaim> create(String name, Claim<ServiceResponse> claim) {
     return store
         .create(key(name), claim.attemptId(), ClaimCodec.encode(claim))
         .thenApply(object -> new StoredClaim(object, claim));
@@ -56,12 +56,12 @@
 
   /** Writes the outcome into a claim, if it is still as it was read. */
   CompletableFuture<StoredObject> record(
-      StoredClaim previous, Claim.Outcome<ServiceExchange> outcome, String writeIdentifier) {
-    Claim<ServiceExchange> claim = previous.claim();
+      StoredClaim previous, Claim.Outcome<ServiceResponse> outcome, String writeIdentifier) {
+    Claim<ServiceResponse> claim = previous.claim();
     if (outcome.answer().isEmpty()) {
       return resolving.update(previous.object(), writeIdentifier, ClaimCodec.encodeLost(claim));
     }
-    ServiceExchange answer = outcome.answer().get();
+    ServiceResponse answer = outcome.answer().get();
     int parts = answer.body().length() <= PART_BYTES ? 0 : partCount(answer.body());
     return writeParts(previous, answer.body(), 0, parts)
         .thenCompose(
--- a/daemon/src/main/java/org/agatefield/daemon/calls/HolderJudge.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/HolderStateEvaluator.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import org.agatefield.daemon.core.InstanceDirectory;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimEvent.HolderState;
 
@@ -12,18 +12,18 @@
  * <p>Uses wall clocks of several instances; a wrong verdict changes what a retry is told, never
  * whether the call is run. Safe for use by any thread.
  */
-final class HolderJudge {
+final class HolderStateEvaluator {
   private final InstanceDirectory instances;
   private final ClaimRemover remover;
   private final Duration grace;
 
-  HolderJudge(InstanceDirectory instances, ClaimRemover remover, Duration grace) {
+  HolderStateEvaluator(InstanceDirectory instances, ClaimRemover remover, Duration grace) {
     this.instances = instances;
     this.remover = remover;
     this.grace = grace;
   }
 
-  HolderState stateOf(Claim<ServiceExchange> claim) {
+  HolderState stateOf(Claim<ServiceResponse> claim) {
     if (remover.isAbandoned(claim.attemptId())) {
       return HolderState.ABANDONED;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeQuery.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 
 /** Asks a service for the outcome of an idempotency key. Safe for use by any thread. */
 @FunctionalInterface
@@ -17,5 +17,5 @@
    * <p>Only asked if {@link org.agatefield.model.PlainService#outcomePath} is present. An empty
    * answer never leads to another execution.
    */
-  CompletableFuture<Optional<ServiceExchange>> ask(NonRepeatableCall call);
+  CompletableFuture<Optional<ServiceResponse>> ask(NonRepeatableCall call);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeRecorder.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeRecorder.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.UUID;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.store.Backoff;
 import org.agatefield.store.StoreException;
@@ -31,7 +31,7 @@
   private final Backoff backoff = new Backoff(FIRST_DELAY, LONGEST_DELAY);
   private final String writeIdentifier = UUID.randomUUID().toString();
   private StoredClaim claim;
-  private Claim.Outcome<ServiceExchange> outcome;
+  private Claim.Outcome<ServiceResponse> outcome;
 
   OutcomeRecorder(Vertx vertx, ClaimStore claims, InvariantMonitor monitor, Runnable recorded) {
     this.vertx = vertx;
@@ -41,7 +41,7 @@
   }
 
   /** Starts to write; {@code recorded} is run once the store has an outcome. */
-  void start(StoredClaim own, Claim.Outcome<ServiceExchange> known) {
+  void start(StoredClaim own, Claim.Outcome<ServiceResponse> known) {
     claim = own;
     outcome = known;
     write();
@@ -77,7 +77,7 @@
     String attempt = claim.claim().attemptId();
     boolean own = found.filter(now -> now.claim().attemptId().equals(attempt)).isPresent();
     monitor.check(
-        InvariantMonitor.Promise.AT_MOST_ONCE,
+        InvariantMonitor.Invariant.AT_MOST_ONCE,
         own,
         () -> "the claim " + claim.object().key() + " of a call that was sent is gone");
     if (!own || hasAnswer(found.get()) || outcome.answer().isEmpty() && hasOutcome(found.get())) {
--- a/daemon/src/main/java/org/agatefield/daemon/calls/RecentOutcomes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/RecentOutcomeCache.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
@@ -16,7 +16,7 @@
  * <p>Invariant: answers are final, so that one that is kept is never out of date; "outcome unknown"
  * may yet become an answer, so it is kept for a moment only. Safe for use by any thread.
  */
-final class RecentOutcomes {
+final class RecentOutcomeCache {
   private static final long MAXIMUM_BYTES = 4L * 1024 * 1024;
   private static final int ENTRY_BYTES = 512;
   private static final Duration ANSWER_TIME = Duration.ofMinutes(1);
@@ -32,12 +32,12 @@
   private final Cache<String, Refused> refusals =
       Caffeine.newBuilder().maximumSize(MAXIMUM_REFUSALS).expireAfterWrite(REFUSAL_TIME).build();
 
-  private record Answered(String bodyHash, ServiceExchange answer) {}
+  private record Answered(String bodyHash, ServiceResponse answer) {}
 
   private record Refused(String bodyHash, AgatefieldException refusal) {}
 
   /** Keeps what an arrival was given, if it is worth keeping. */
-  void keep(String name, String bodyHash, ServiceExchange answer, Throwable failure) {
+  void keep(String name, String bodyHash, ServiceResponse answer, Throwable failure) {
     if (failure == null) {
       answers.put(name, new Answered(bodyHash, answer));
       return;
@@ -49,7 +49,7 @@
   }
 
   /** Returns the outcome of a call, if it is kept. */
-  Optional<CompletableFuture<ServiceExchange>> find(String name, String bodyHash) {
+  Optional<CompletableFuture<ServiceResponse>> find(String name, String bodyHash) {
     Answered answered = answers.getIfPresent(name);
     if (answered != null && answered.bodyHash().equals(bodyHash)) {
       return Optional.of(CompletableFuture.completedFuture(answered.answer()));
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCalls.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
@@ -13,11 +13,11 @@
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.NonRepeatableCalls;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.NonRepeatableCallExecutor;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.StepHook;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.daemon.core.FailPointHook;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimNames;
 import org.agatefield.idempotency.RetentionPolicy;
@@ -34,31 +34,31 @@
  * store. An execution stays known until its outcome is in the store, so that retries here are
  * served meanwhile. Safe for use by any thread.
  */
-public final class StoreBackedCalls implements NonRepeatableCalls, AutoCloseable {
+public final class StoreBackedCallExecutor implements NonRepeatableCallExecutor, AutoCloseable {
   private static final Duration LONGEST_STORE_PAUSE = Duration.ofMillis(500);
 
-  private final RecentOutcomes recent = new RecentOutcomes();
+  private final RecentOutcomeCache recent = new RecentOutcomeCache();
   private final Map<String, ClaimExecution> executions = new ConcurrentHashMap<>();
-  private final CallParts parts;
+  private final CallContext parts;
   private final InstanceDirectory instances;
   private final CallLimits limits;
   private final RetentionPolicy retention;
   private final MetricRegistry metrics;
 
   /** Creates the calls of an instance. */
-  public StoreBackedCalls(
+  public StoreBackedCallExecutor(
       Vertx vertx,
       ObjectStore store,
       InstanceDirectory instances,
       OutcomeQuery outcomes,
       CallLimits limits,
-      StepHook hook,
+      FailPointHook hook,
       InvariantMonitor monitor,
       MetricRegistry metrics) {
     ClaimStore claims = new ClaimStore(new CircuitBreakingStore(store, LONGEST_STORE_PAUSE));
     ClaimRemover remover = new ClaimRemover(vertx, claims, limits.lateEffectWindow());
-    HolderJudge holders = new HolderJudge(instances, remover, limits.holderGrace());
-    this.parts = new CallParts(vertx, claims, remover, holders, outcomes, hook, monitor);
+    HolderStateEvaluator holders = new HolderStateEvaluator(instances, remover, limits.holderGrace());
+    this.parts = new CallContext(vertx, claims, remover, holders, outcomes, hook, monitor);
     this.instances = instances;
     this.limits = limits;
     this.retention = limits.retentionPolicy();
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public CompletableFuture<ServiceExchange> execute(
+  public CompletableFuture<ServiceResponse> execute(
       NonRepeatableCall call,
       ServiceRequest request,
       Dispatcher dispatcher,
@@ -79,7 +79,7 @@
               ErrorKind.KEY_EXPIRED, "the key is older than outcomes are kept; nothing was sent"));
     }
     String name = ClaimNames.nameOf(call.caller(), call.service().name(), call.key());
-    Optional<CompletableFuture<ServiceExchange>> kept = recent.find(name, call.bodySha256());
+    Optional<CompletableFuture<ServiceResponse>> kept = recent.find(name, call.bodySha256());
     if (kept.isPresent()) {
       metrics.counter("agatefield.calls.answeredFromMemory").inc();
       return kept.get();
@@ -121,8 +121,8 @@
       String name) {
     long now = System.nanoTime();
     long joinLimit = Math.min(call.remaining().toNanos(), limits.joinLimit().toNanos());
-    Arrival arrival =
-        new Arrival(
+    CallAttempt arrival =
+        new CallAttempt(
             UUID.randomUUID().toString(),
             call.bodySha256(),
             now + call.remaining().toNanos(),
@@ -140,7 +140,7 @@
         over -> executions.remove(name, over));
   }
 
-  private Claim<ServiceExchange> claimOf(NonRepeatableCall call, Arrival arrival) {
+  private Claim<ServiceResponse> claimOf(NonRepeatableCall call, CallAttempt arrival) {
     long now = System.currentTimeMillis();
     return new Claim<>(
         arrival.attemptId(),
@@ -153,9 +153,9 @@
   }
 
   /** Gives each caller the shared reply or, at its own deadline, a failure; the call goes on. */
-  private CompletableFuture<ServiceExchange> withDeadline(
+  private CompletableFuture<ServiceResponse> withDeadline(
       ClaimExecution execution, NonRepeatableCall call) {
-    CompletableFuture<ServiceExchange> own = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> own = new CompletableFuture<>();
     long timer =
         parts
             .vertx()
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoredClaim.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoredClaim.java
@@ -1,8 +1,8 @@
 package org.agatefield.daemon.calls;
 
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.store.StoredObject;
 
 /** A claim with the object that holds it. Immutable. */
-record StoredClaim(StoredObject object, Claim<ServiceExchange> claim) {}
+record StoredClaim(StoredObject object, Claim<ServiceResponse> claim) {}
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationInForce.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ActiveConfiguration.java
@@ -6,7 +6,7 @@
 import org.agatefield.daemon.core.ConfigurationSink;
 import org.agatefield.daemon.core.ConfigurationSource;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.InvariantMonitor.Promise;
+import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.agatefield.model.ConfigurationDocument;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -18,15 +18,15 @@
  * Safe for use by any thread: state is guarded by the object's lock, and listeners are called under
  * it so that they hear every document in order; they must not block.
  */
-public final class ConfigurationInForce implements ConfigurationSource, ConfigurationSink {
-  private static final Logger LOGGER = LogManager.getLogger(ConfigurationInForce.class);
+public final class ActiveConfiguration implements ConfigurationSource, ConfigurationSink {
+  private static final Logger LOGGER = LogManager.getLogger(ActiveConfiguration.class);
 
   private final InvariantMonitor monitor;
   private final List<Consumer<ConfigurationDocument>> listeners = new ArrayList<>();
   private volatile ConfigurationDocument current = ConfigurationDocument.empty();
 
   /** Creates a holder of the empty document. */
-  public ConfigurationInForce(InvariantMonitor monitor) {
+  public ActiveConfiguration(InvariantMonitor monitor) {
     this.monitor = monitor;
   }
 
@@ -57,7 +57,7 @@
     ConfigurationDocument mine = current;
     boolean consistent = document.generation() < mine.generation() || document.equals(mine);
     monitor.check(
-        Promise.CONFIGURATION,
+        Invariant.CONFIGURATION,
         consistent,
         () -> "two documents of generation " + mine.generation() + ": " + mine + ", " + document);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationKeeper.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
@@ -12,8 +12,8 @@
 import org.agatefield.daemon.core.ConfigurationSink;
 import org.agatefield.daemon.core.ConfigurationSource;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.Step;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.store.InformerListener;
 import org.agatefield.store.ObjectInformer;
@@ -30,35 +30,35 @@
  * that object, from peers and by a slow poll, and a higher generation alone is adopted. Safe for
  * use by any thread.
  */
-public final class ConfigurationKeeper
+public final class ConfigurationManager
     implements ConfigurationSource, ConfigurationSink, AutoCloseable {
-  private static final Logger LOGGER = LogManager.getLogger(ConfigurationKeeper.class);
+  private static final Logger LOGGER = LogManager.getLogger(ConfigurationManager.class);
 
   private static final long RETRY_DELAY_MILLISECONDS = 250;
   private static final Executor RETRIES =
       CompletableFuture.delayedExecutor(RETRY_DELAY_MILLISECONDS, TimeUnit.MILLISECONDS);
 
   private final ObjectStore store;
-  private final ConfigurationInForce inForce;
+  private final ActiveConfiguration inForce;
   private final ConfigurationHistory history;
   private final ObjectInformer informer;
-  private final StepHook hook;
+  private final FailPointHook hook;
 
   /**
    * Creates a keeper; {@link #start()} starts it.
    *
    * @param pollInterval how often the store is read although its watch is quiet
    */
-  public ConfigurationKeeper(
+  public ConfigurationManager(
       Vertx vertx,
       ObjectStore store,
       Duration pollInterval,
       MetricRegistry metrics,
       InvariantMonitor monitor,
-      StepHook hook) {
+      FailPointHook hook) {
     this.store = store;
     this.hook = hook;
-    this.inForce = new ConfigurationInForce(monitor);
+    this.inForce = new ActiveConfiguration(monitor);
     this.history = new ConfigurationHistory(store);
     this.informer = new ObjectInformer(vertx, store, ObjectKind.CONFIGURATION, pollInterval);
     informer.listen(new CurrentListener());
@@ -67,7 +67,7 @@
   }
 
   /** Starts to learn from the store. */
-  public ConfigurationKeeper start() {
+  public ConfigurationManager start() {
     informer.start();
     return this;
   }
@@ -98,7 +98,7 @@
    * @param document read by {@link org.agatefield.configuration.ConfigurationReader}
    */
   public CompletableFuture<ConfigurationDocument> apply(ConfigurationDocument document) {
-    return new ConfigurationApplication(store, history, document, RETRIES)
+    return new ConfigurationUpdate(store, history, document, RETRIES)
         .run()
         .thenApply(this::accepted);
   }
@@ -106,7 +106,7 @@
   private ConfigurationDocument accepted(ConfigurationDocument document) {
     String subject = Long.toString(document.generation());
     LOGGER.info("configuration accepted generation={}", subject);
-    hook.reached(Step.AFTER_CONFIGURATION_ACCEPTED, subject);
+    hook.reached(FailPoint.AFTER_CONFIGURATION_ACCEPTED, subject);
     inForce.offer(document);
     history.trim(document.generation());
     return document;
@@ -134,7 +134,7 @@
   private final class CurrentListener implements InformerListener {
     @Override
     public void changed(StoredObject object) {
-      if (!object.key().equals(ConfigurationApplication.CURRENT)) {
+      if (!object.key().equals(ConfigurationUpdate.CURRENT)) {
         return;
       }
       try {
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationApplication.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationUpdate.java
@@ -26,7 +26,7 @@
  * names. Every try carries the same write identifier, so that a try whose answer was lost is
  * recognised by reading back. Used once.
  */
-final class ConfigurationApplication {
+final class ConfigurationUpdate {
   static final ObjectKey CURRENT = new ObjectKey(ObjectKind.CONFIGURATION, "current");
   private static final int MAXIMUM_TRIES = 8;
 
@@ -42,7 +42,7 @@
    *
    * @param retries runs the next try after a delay
    */
-  ConfigurationApplication(
+  ConfigurationUpdate(
       ObjectStore store,
       ConfigurationHistory history,
       ConfigurationDocument document,
--- a/daemon/src/main/java/org/agatefield/daemon/core/Dispatch.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/Dispatch.java
@@ -24,7 +24,7 @@
   Optional<String> adapter();
 
   /** Records that the first part of the answer came. */
-  void firstAnswerPart();
+  void responseStarted();
 
   /** Records that the attempt is over and gives its place back; later calls do nothing. */
   void finished(DispatchOutcome outcome);
--- a/daemon/src/main/java/org/agatefield/daemon/core/EntryAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/EntryAddresses.java
@@ -10,9 +10,9 @@
  * @param addresses best first; at least one
  * @param timeToLive how long the caller may keep the answer
  */
-public record EntryAnswer(List<Address> addresses, Duration timeToLive) {
+public record EntryAddresses(List<Address> addresses, Duration timeToLive) {
   /** Copies the list. */
-  public EntryAnswer {
+  public EntryAddresses {
     addresses = List.copyOf(addresses);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/EntryDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/EntryDirectory.java
@@ -10,5 +10,5 @@
    * @param model the deployment or adapter that the caller will ask for
    * @param region the region that the caller lies in
    */
-  EntryAnswer entriesFor(Optional<String> model, Optional<String> region);
+  EntryAddresses entriesFor(Optional<String> model, Optional<String> region);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/Step.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/FailPoint.java
@@ -1,7 +1,7 @@
 package org.agatefield.daemon.core;
 
 /** Named steps of a daemon at which a test may bring about a failure. */
-public enum Step {
+public enum FailPoint {
   /** Before a claim is written. */
   BEFORE_CLAIM,
   /** After a claim was written, before anything is sent. */
--- a/daemon/src/main/java/org/agatefield/daemon/core/StepHook.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/FailPointHook.java
@@ -7,14 +7,14 @@
  * <p>Called on the thread that takes the step. Safe for use by any thread.
  */
 @FunctionalInterface
-public interface StepHook {
+public interface FailPointHook {
   /** The hook of a daemon outside tests: does nothing. */
-  StepHook NONE = (step, subject) -> {};
+  FailPointHook NONE = (step, subject) -> {};
 
   /**
    * Called when {@code step} is reached.
    *
    * @param subject what the step is about, such as an idempotency key or an upstream's name
    */
-  void reached(Step step, String subject);
+  void reached(FailPoint step, String subject);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/InvariantMonitor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/InvariantMonitor.java
@@ -9,7 +9,7 @@
  */
 public interface InvariantMonitor {
   /** The promises that are checked while the daemon runs. */
-  enum Promise {
+  enum Invariant {
     /** Accelerator memory is never overcommitted. */
     MEMORY,
     /** Every deployed model stays reachable. */
@@ -29,7 +29,7 @@
   }
 
   /** Reports a violation if {@code holds} is false. */
-  void check(Promise promise, boolean holds, Supplier<String> evidence);
+  void check(Invariant promise, boolean holds, Supplier<String> evidence);
 
   /** Returns the number of violations so far. */
   long violations();
--- a/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCall.java
@@ -36,6 +36,6 @@
      * <p>The future fails with an {@link org.agatefield.model.AgatefieldException} whose run state
      * is {@code NO} only if not one byte reached the upstream.
      */
-    CompletableFuture<ServiceExchange> send(Address upstream);
+    CompletableFuture<ServiceResponse> send(Address upstream);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCalls.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCallExecutor.java
@@ -9,13 +9,13 @@
  * instances, except after proof that the earlier invocation sent nothing. Safe for use by any
  * thread.
  */
-public interface NonRepeatableCalls {
+public interface NonRepeatableCallExecutor {
   /**
    * Returns the whole answer of the one execution, from now or from before.
    *
    * @param dispatcher chooses the upstream after the key is known to be new, before the claim
    */
-  CompletableFuture<ServiceExchange> execute(
+  CompletableFuture<ServiceResponse> execute(
       NonRepeatableCall call,
       ServiceRequest request,
       Dispatcher dispatcher,
--- a/daemon/src/main/java/org/agatefield/daemon/core/ServiceExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ServiceResponse.java
@@ -10,9 +10,9 @@
  * @param headers the headers that are passed on to the caller
  * @param body the whole body
  */
-public record ServiceExchange(int status, List<Header> headers, Buffer body) {
+public record ServiceResponse(int status, List<Header> headers, Buffer body) {
   /** Copies the list. */
-  public ServiceExchange {
+  public ServiceResponse {
     headers = List.copyOf(headers);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/core/UpstreamKeys.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/UpstreamIdempotencyKeys.java
@@ -7,11 +7,11 @@
  * same text; otherwise a service that is asked for an outcome could give one caller the answer of
  * another. The names of callers hold no colon.
  */
-public final class UpstreamKeys {
+public final class UpstreamIdempotencyKeys {
   /** The caller of every request while no callers are configured. */
   public static final String ANONYMOUS_CALLER = "anonymous";
 
-  private UpstreamKeys() {}
+  private UpstreamIdempotencyKeys() {}
 
   /** Returns the key that is passed on to the service; the caller's own if callers are unknown. */
   public static String of(String caller, String key) {
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -21,8 +21,8 @@
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
 import org.agatefield.routing.Choice;
-import org.agatefield.routing.CrossingRule;
-import org.agatefield.routing.LoadStretch;
+import org.agatefield.routing.CrossRegionRule;
+import org.agatefield.routing.LoadSlowdown;
 import org.agatefield.routing.UpstreamChooser;
 
 /**
@@ -38,14 +38,14 @@
   private final TargetIndex index;
   private final UpstreamTable upstreams;
   private final UpstreamChooser chooser;
-  private final CrossingRule crossing;
+  private final CrossRegionRule crossing;
   private final AdmissionQueue queue;
   private final DemandMeter demand;
   private final DecisionLog decisions;
   private final DispatchMetrics metrics;
   private final InvariantMonitor monitor;
-  private final RoutedDispatch.Owner owner;
-  private final LoadStretch stretch = new LoadStretch();
+  private final RoutedDispatch.Listener listener;
+  private final LoadSlowdown stretch = new LoadSlowdown();
   private final Map<Long, PendingRequest> waiting = new HashMap<>();
   private List<Runnable> completions = new ArrayList<>();
   private Set<String> leaving = Set.of();
@@ -55,13 +55,13 @@
       TargetIndex index,
       UpstreamTable upstreams,
       UpstreamChooser chooser,
-      CrossingRule crossing,
+      CrossRegionRule crossing,
       AdmissionQueue queue,
       DemandMeter demand,
       DecisionLog decisions,
       DispatchMetrics metrics,
       InvariantMonitor monitor,
-      RoutedDispatch.Owner owner) {
+      RoutedDispatch.Listener listener) {
     this.index = index;
     this.upstreams = upstreams;
     this.chooser = chooser;
@@ -71,7 +71,7 @@
     this.decisions = decisions;
     this.metrics = metrics;
     this.monitor = monitor;
-    this.owner = owner;
+    this.listener = listener;
   }
 
   /** Takes in what changed outside since the last call. */
@@ -117,14 +117,14 @@
   /** Refuses what has become too late and sends what has a place by now. */
   void tick(long now) {
     queue.expire(now).forEach(refusal -> refuse(refusal, now));
-    for (PendingRequest pending : List.copyOf(oneOfEachTarget().values())) {
+    for (PendingRequest pending : List.copyOf(oneRequestPerTarget().values())) {
       placeable(pending, now).forEach(candidate -> fill(candidate.upstream(), now));
     }
   }
 
-  void firstAnswerPart(RoutedDispatch dispatch, long now) {
+  void responseStarted(RoutedDispatch dispatch, long now) {
     long nanoseconds = now - dispatch.sentNanoseconds();
-    upstreams.firstPart(dispatch.upstream().name(), nanoseconds, now);
+    upstreams.firstPartReceived(dispatch.upstream().name(), nanoseconds, now);
   }
 
   /** Gives the place of an attempt back and sends what waits for it. */
@@ -135,15 +135,15 @@
     double usedShare = upstreams.state(upstream).usedShare(now);
     queue.finished(pending.target.name());
     if (outcome == DispatchOutcome.SUCCEEDED) {
-      queue.measured(pending.target.name(), pending.queued.cost(), nanoseconds, now);
-      stretch.measured(usedShare, nanoseconds / pending.queued.cost());
+      queue.recordServiceTime(pending.target.name(), pending.queued.cost(), nanoseconds, now);
+      stretch.recordServiceTime(usedShare, nanoseconds / pending.queued.cost());
     }
     if (upstreams.finished(dispatch, outcome, now)) {
       metrics.ejections.inc();
       decisions.ejected(upstream, outcome);
     }
     double runnerSeconds =
-        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.toFullLoad(usedShare);
+        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.fullLoadFactor(usedShare);
     demand.busy(pending.target.deployment(), runnerSeconds, now);
     fill(upstream, now);
   }
@@ -179,14 +179,14 @@
   /** Sends waiting requests to an upstream until it has no place or nothing waits for it. */
   private void fill(String upstream, long now) {
     boolean sent = true;
-    while (sent && queue.size() > 0 && upstreams.state(upstream).hasPlace(now)) {
+    while (sent && queue.size() > 0 && upstreams.state(upstream).hasCapacity(now)) {
       sent = sendNext(upstream, now);
     }
   }
 
   private boolean sendNext(String upstream, long now) {
     Map<String, List<Candidate>> servable = new LinkedHashMap<>();
-    for (Map.Entry<String, PendingRequest> entry : oneOfEachTarget().entrySet()) {
+    for (Map.Entry<String, PendingRequest> entry : oneRequestPerTarget().entrySet()) {
       List<Candidate> candidates = placeable(entry.getValue(), now);
       if (candidates.stream().anyMatch(each -> each.upstream().equals(upstream))) {
         servable.put(entry.getKey(), candidates);
@@ -215,7 +215,7 @@
     String name = choice.candidate().upstream();
     final Upstream upstream = index.upstream(name).orElseThrow();
     monitor.check(
-        InvariantMonitor.Promise.LEAVING_UPSTREAM,
+        InvariantMonitor.Invariant.LEAVING_UPSTREAM,
         !leaving.contains(name),
         () -> "request " + pending.requestId + " was routed to leaving upstream " + name);
     lastAttemptNumber++;
@@ -229,7 +229,7 @@
     metrics.dispatched.inc();
     decisions.chosen(
         pending.requestId, lastAttemptNumber, pending.target.name(), choice, candidates);
-    hand(pending, new RoutedDispatch(owner, pending, lastAttemptNumber, upstream, now));
+    hand(pending, new RoutedDispatch(listener, pending, lastAttemptNumber, upstream, now));
   }
 
   /** A caller that went away in the meantime does not take the attempt: its place is given back. */
@@ -254,19 +254,19 @@
       heldHere |= candidate.region().equals(region);
     }
     boolean mayCross =
-        !heldHere || crossing.isWorth(queue.expectedDrainNanoseconds(pending.target.name()));
+        !heldHere || crossing.isWorthwhile(queue.expectedDrainNanoseconds(pending.target.name()));
     List<Candidate> placeable = new ArrayList<>(eligible.size());
     for (Candidate candidate : eligible) {
-      if (candidate.hasPlace() && (mayCross || candidate.region().equals(region))) {
+      if (candidate.hasCapacity() && (mayCross || candidate.region().equals(region))) {
         placeable.add(candidate);
       }
     }
     return placeable;
   }
 
-  private Map<String, PendingRequest> oneOfEachTarget() {
+  private Map<String, PendingRequest> oneRequestPerTarget() {
     Map<String, PendingRequest> targets = new LinkedHashMap<>();
-    for (QueuedRequest each : queue.oneOfEachTarget()) {
+    for (QueuedRequest each : queue.oneRequestPerTarget()) {
       Optional.ofNullable(waiting.get(each.id()))
           .ifPresent(pending -> targets.put(each.target(), pending));
     }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/HomeEntryDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/HomeEntryDirectory.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.ToDoubleFunction;
-import org.agatefield.daemon.core.EntryAnswer;
+import org.agatefield.daemon.core.EntryAddresses;
 import org.agatefield.daemon.core.EntryDirectory;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.model.Address;
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public EntryAnswer entriesFor(Optional<String> model, Optional<String> region) {
+  public EntryAddresses entriesFor(Optional<String> model, Optional<String> region) {
     String wantedRegion = region.orElse(instances.self().failureDomain().region());
     Map<String, Instance> near = new LinkedHashMap<>();
     Map<String, Instance> far = new LinkedHashMap<>();
@@ -68,7 +68,7 @@
     }
     List<Address> addresses =
         chosen.stream().limit(MAXIMUM_ADDRESSES).map(Instance::callerAddress).toList();
-    return new EntryAnswer(addresses, timeToLive);
+    return new EntryAddresses(addresses, timeToLive);
   }
 
   private List<Instance> takingWork() {
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutedDispatch.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutedDispatch.java
@@ -14,7 +14,7 @@
  * any thread.
  */
 final class RoutedDispatch implements Dispatch {
-  private final Owner owner;
+  private final Listener listener;
   private final PendingRequest pending;
   private final long attemptNumber;
   private final Upstream upstream;
@@ -23,19 +23,19 @@
   private final AtomicBoolean over = new AtomicBoolean();
 
   /** Hears what becomes of attempts. */
-  interface Owner {
-    void firstAnswerPart(RoutedDispatch dispatch);
+  interface Listener {
+    void responseStarted(RoutedDispatch dispatch);
 
     void finished(RoutedDispatch dispatch, DispatchOutcome outcome);
   }
 
   RoutedDispatch(
-      Owner owner,
+      Listener listener,
       PendingRequest pending,
       long attemptNumber,
       Upstream upstream,
       long sentNanoseconds) {
-    this.owner = owner;
+    this.listener = listener;
     this.pending = pending;
     this.attemptNumber = attemptNumber;
     this.upstream = upstream;
@@ -50,7 +50,7 @@
     return sentNanoseconds;
   }
 
-  boolean isAnswering() {
+  boolean hasResponseStarted() {
     return answering.get();
   }
 
@@ -75,16 +75,16 @@
   }
 
   @Override
-  public void firstAnswerPart() {
+  public void responseStarted() {
     if (answering.compareAndSet(false, true)) {
-      owner.firstAnswerPart(this);
+      listener.responseStarted(this);
     }
   }
 
   @Override
   public void finished(DispatchOutcome outcome) {
     if (over.compareAndSet(false, true)) {
-      owner.finished(this, outcome);
+      listener.finished(this, outcome);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingDispatcher.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingDispatcher.java
@@ -41,7 +41,7 @@
  * {@code lock} was given back.
  */
 public final class RoutingDispatcher
-    implements Dispatcher, DemandSource, RoutedDispatch.Owner, AutoCloseable {
+    implements Dispatcher, DemandSource, RoutedDispatch.Listener, AutoCloseable {
   private static final long TICK_MILLISECONDS = 20;
   private static final int PREFIXES_PER_RUNNER = 8_192;
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -177,8 +177,8 @@
   }
 
   @Override
-  public void firstAnswerPart(RoutedDispatch dispatch) {
-    run(now -> core.firstAnswerPart(dispatch, now));
+  public void responseStarted(RoutedDispatch dispatch) {
+    run(now -> core.responseStarted(dispatch, now));
   }
 
   @Override
@@ -207,7 +207,7 @@
       core.refuse(pending, ErrorKind.NO_UPSTREAM, "no upstream answers", RETRY_AFTER, now);
       return future;
     }
-    boolean continuesAdmittedWork = failed.isAnswering() || outcome == DispatchOutcome.UNREACHABLE;
+    boolean continuesAdmittedWork = failed.hasResponseStarted() || outcome == DispatchOutcome.UNREACHABLE;
     if (!continuesAdmittedWork && !retries.mayRetry()) {
       metrics.retriesOverBudget.inc();
       core.refuse(pending, ErrorKind.OVERLOADED, "the retry budget is spent", RETRY_AFTER, now);
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RunnerState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -2,21 +2,21 @@
 
 import java.util.Set;
 import org.agatefield.admission.ConcurrencyLimit;
-import org.agatefield.admission.LearntLimit;
+import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
-import org.agatefield.routing.RunnerLoad;
+import org.agatefield.routing.UpstreamLoad;
 
 /** What this instance knows of one upstream's load. Confined to the dispatcher's lock. */
-final class RunnerState {
+final class UpstreamState {
   private static final int MINIMUM_LIMIT = 1;
   private static final int INITIAL_LIMIT = 32;
   private static final int MAXIMUM_LIMIT = 1_024;
 
-  private final RunnerLoad load = new RunnerLoad();
+  private final UpstreamLoad load = new UpstreamLoad();
   private final ConcurrencyLimit limit =
-      new LearntLimit(MINIMUM_LIMIT, INITIAL_LIMIT, MAXIMUM_LIMIT);
+      new AdaptiveLimit(MINIMUM_LIMIT, INITIAL_LIMIT, MAXIMUM_LIMIT);
   private LoadReport lastReport;
   private Set<String> loadedAdapters = Set.of();
 
@@ -44,7 +44,7 @@
 
   void succeeded(long nanoseconds, double usedOfDeadline, long nowNanoseconds) {
     limit.succeeded(load.outstanding(nowNanoseconds), usedOfDeadline);
-    load.measured(nanoseconds);
+    load.recordServiceTime(nanoseconds);
   }
 
   void rejected() {
@@ -59,7 +59,7 @@
     return (double) load.outstanding(nowNanoseconds) / limit.limit();
   }
 
-  boolean hasPlace(long nowNanoseconds) {
+  boolean hasCapacity(long nowNanoseconds) {
     return load.outstanding(nowNanoseconds) < limit.limit();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamTable.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamTable.java
@@ -22,7 +22,7 @@
   private final PrefixTable prefixes;
   private final OutlierDetector outliers = new OutlierDetector(BASE_EJECTION_NANOSECONDS);
   private final EligibleUpstreams eligible = new EligibleUpstreams(outliers);
-  private final Map<String, RunnerState> states = new HashMap<>();
+  private final Map<String, UpstreamState> states = new HashMap<>();
 
   UpstreamTable(ReplicaDirectory directory, PrefixTable prefixes) {
     this.directory = directory;
@@ -34,24 +34,24 @@
       Target target, List<TargetIndex.Holder> holders, Set<String> failed, long now) {
     List<Candidate> candidates = new ArrayList<>(holders.size());
     for (TargetIndex.Holder holder : holders) {
-      RunnerState state = refreshed(holder.upstream().name(), now);
+      UpstreamState state = refreshed(holder.upstream().name(), now);
       candidates.add(state.candidate(holder.upstream(), holder.draining(), target, now));
     }
     return eligible.of(candidates, failed, now);
   }
 
-  RunnerState state(String upstream) {
-    return states.computeIfAbsent(upstream, ignored -> new RunnerState());
+  UpstreamState state(String upstream) {
+    return states.computeIfAbsent(upstream, ignored -> new UpstreamState());
   }
 
-  void firstPart(String upstream, long nanoseconds, long now) {
-    outliers.firstPart(upstream, nanoseconds, now);
+  void firstPartReceived(String upstream, long nanoseconds, long now) {
+    outliers.firstPartReceived(upstream, nanoseconds, now);
   }
 
   /** Records how an attempt ended; returns whether the upstream is now ejected because of it. */
   boolean finished(RoutedDispatch dispatch, DispatchOutcome outcome, long now) {
     String upstream = dispatch.upstream().name();
-    RunnerState state = state(upstream);
+    UpstreamState state = state(upstream);
     state.finished();
     switch (outcome) {
       case SUCCEEDED:
@@ -65,7 +65,7 @@
       case FAILED:
         return outliers.failed(upstream, now);
       case TIMED_OUT:
-        return !dispatch.isAnswering() && outliers.failed(upstream, now);
+        return !dispatch.hasResponseStarted() && outliers.failed(upstream, now);
       default:
         return false;
     }
@@ -77,8 +77,8 @@
     return (double) (now - dispatch.sentNanoseconds()) / allowed;
   }
 
-  private RunnerState refreshed(String upstream, long now) {
-    RunnerState state = state(upstream);
+  private UpstreamState refreshed(String upstream, long now) {
+    UpstreamState state = state(upstream);
     directory
         .loadReport(upstream)
         .filter(report -> state.reported(report, now))
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -14,7 +14,7 @@
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.daemon.forward.wire.RunnerOrder;
 import org.agatefield.daemon.forward.wire.RunnerOrder.Action;
-import org.agatefield.forwarding.HeldModel;
+import org.agatefield.forwarding.LoadedModel;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerReport;
 import org.agatefield.lease.LeaseGrant;
@@ -464,14 +464,14 @@
     proceed();
   }
 
-  private void setModels(Iterable<HeldModel> held) {
+  private void setModels(Iterable<LoadedModel> held) {
     models = new HashSet<>();
     held.forEach(model -> models.add(model.name()));
   }
 
   private void updateAdapters(RunnerReport report) {
-    Set<String> present = new HashSet<>(report.comingAdapters());
-    for (HeldModel model : report.models()) {
+    Set<String> present = new HashSet<>(report.loadingAdapters());
+    for (LoadedModel model : report.models()) {
       model.adapters().forEach(adapter -> present.add(model.name() + '/' + adapter));
     }
     adapters.reported(present);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -24,10 +24,10 @@
 import org.agatefield.admission.FleetSize;
 import org.agatefield.admission.QuotaTolerance;
 import org.agatefield.daemon.forward.wire.PlatformDialect;
-import org.agatefield.daemon.leases.LeaseDuty;
+import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
-import org.agatefield.forwarding.BeginInTime;
-import org.agatefield.forwarding.EarliestBeginChoice;
+import org.agatefield.forwarding.StartInTimePolicy;
+import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
 import org.agatefield.model.AgatefieldException;
@@ -98,7 +98,7 @@
   private FleetSize fleetSize;
   private RegionalQuotaPolicy quotas;
   private ModelPlanner planner;
-  private LeaseDuty lease;
+  private LeaseManager lease;
   private IngressServer ingress;
   private volatile boolean leaving;
   private volatile boolean refusing;
@@ -262,7 +262,7 @@
             loads,
             presence,
             availability,
-            new EarliestBeginChoice(random));
+            new EarliestStartChooser(random));
     ingress =
         new IngressServer(
             new ForwardingContext(
@@ -275,7 +275,7 @@
                 configuration::table,
                 selector,
                 availability,
-                new BeginInTime(),
+                new StartInTimePolicy(),
                 loads,
                 presence,
                 plannerClient::ensureAdapter,
@@ -325,21 +325,21 @@
     closer.register(client::close);
     lease =
         closer.register(
-            new LeaseDuty(
+            new LeaseManager(
                 vertx,
                 store,
                 PLANNER_LEASE,
                 id,
                 LEASE_DURATION,
                 this::isEarlierProcessOfThisInstance,
-                () -> peers.relays().speaks()));
+                () -> peers.relays().representsDomain()));
     planner =
         new ModelPlanner(
             vertx,
             client,
             dialect.runners(),
             lease,
-            lease::distrust,
+            lease::invalidateGrant,
             id,
             runners,
             configuration,
@@ -362,7 +362,7 @@
     tasks.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerClient.reportDemand());
     tasks.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerClient.announce());
     tasks.every(EXPIRY_CHECK_MILLISECONDS, runners::removeExpired);
-    tasks.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
+    tasks.every(FleetSize.SAMPLE_INTERVAL_MILLISECONDS, fleetSize::sample);
     tasks.every(RegionalQuotaPolicy.REFRESH_MILLISECONDS, quotas::refresh);
     tasks.start();
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -86,7 +86,7 @@
     this.settings =
         MembershipSettings.defaults()
             .withProbes(PROBE_MILLISECONDS, PROBE_TIMEOUT_MILLISECONDS, SUSPICION_PROBES)
-            .withSpread(UPDATES_PER_MESSAGE, TRANSMIT_MULTIPLIER);
+            .withGossip(UPDATES_PER_MESSAGE, TRANSMIT_MULTIPLIER);
     this.loop = this.context.nettyEventLoop();
     this.transport =
         closer.register(
@@ -179,7 +179,7 @@
   /** Sends a message to every other live instance without delivery guarantee. */
   void broadcast(PeerMessage message) {
     sendToNeighbours(message);
-    relays().direct().forEach(instance -> send(instance, message));
+    relays().directPeers().forEach(instance -> send(instance, message));
     PeerMessage relayed = new PeerMessage.Relayed(message);
     relays().relays().forEach(instance -> send(instance, relayed));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
@@ -9,7 +9,7 @@
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.IngressLimits;
 import org.agatefield.forwarding.RefusalReason;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.forwarding.Route;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -65,7 +65,7 @@
       refuse(request, response, RefusalReason.SHUTTING_DOWN);
       return;
     }
-    RequestTerms terms = context.dialect().callers().requestTerms(request.headers());
+    RequestMetadata terms = context.dialect().callers().requestTerms(request.headers());
     String host = Optional.ofNullable(request.getHeader("Host")).orElse("");
     Optional<Route> route = table.get().match(host, request.path());
     if (route.isEmpty()) {
@@ -83,7 +83,7 @@
       return;
     }
     AccountTable accounts = table.get().accounts();
-    Optional<ClientAccount> account = terms.key().flatMap(accounts::holderOf);
+    Optional<ClientAccount> account = terms.key().flatMap(accounts::accountFor);
     if (account.isEmpty() && accounts.requiresKeys() && !route.get().open()) {
       LOGGER.info(
           "request={} route={} outcome=unknown_key with_key={} config={}",
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -61,9 +61,9 @@
   void sendReports(long nowMilliseconds) {
     periods++;
     DomainRelays relays = fleet.relays();
-    if (!relays.isDomainLarge()) {
+    if (!relays.domainHasRelay()) {
       reportDirectly(relays);
-    } else if (relays.speaks()) {
+    } else if (relays.representsDomain()) {
       reportForDomain(relays, nowMilliseconds);
     } else if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT == 0) {
       reportToRelay(relays, nowMilliseconds);
@@ -71,7 +71,7 @@
   }
 
   private void reportDirectly(DomainRelays relays) {
-    Map<String, RunnerLoads.Share> localLoads = loads.ownShares();
+    Map<String, RunnerLoads.Load> localLoads = loads.ownLoads();
     if (localLoads.isEmpty()) {
       return;
     }
@@ -83,7 +83,7 @@
   }
 
   private void reportToRelay(DomainRelays relays, long now) {
-    Map<String, RunnerLoads.Share> localLoads = loads.ownShares();
+    Map<String, RunnerLoads.Load> localLoads = loads.ownLoads();
     if (localLoads.isEmpty()) {
       relaySilentSince = Long.MAX_VALUE;
       return;
@@ -102,31 +102,31 @@
     List<Instance> neighbours = relays.neighbours();
     if (periods % PERIODS_PER_DOMAIN_SUM == 0) {
       List<String> ids = neighbours.stream().map(Instance::id).toList();
-      reportToOtherDomains(relays, report(domainName(), loads.sharesWith(ids, now)));
+      reportToOtherDomains(relays, report(domainName(), loads.loadsWith(ids, now)));
     }
-    if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT != 0 || loads.allShares(now).isEmpty()) {
+    if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT != 0 || loads.allLoads(now).isEmpty()) {
       return;
     }
     for (Instance neighbour : neighbours) {
-      fleet.send(neighbour, report(domainName(), loads.sharesWithout(neighbour.id(), now)));
+      fleet.send(neighbour, report(domainName(), loads.loadsExcept(neighbour.id(), now)));
     }
   }
 
   private void reportToOtherDomains(DomainRelays relays, PeerMessage report) {
-    relays.direct().forEach(instance -> fleet.send(instance, report));
+    relays.directPeers().forEach(instance -> fleet.send(instance, report));
     relays.relays().forEach(instance -> fleet.send(instance, report));
   }
 
   /** Applies the load reported by an instance or for a failure domain. */
   void reportReceived(PeerMessage.RunnerLoadReport report, long nowMilliseconds) {
-    Map<String, RunnerLoads.Share> shares = new HashMap<>();
+    Map<String, RunnerLoads.Load> shares = new HashMap<>();
     for (PeerMessage.RunnerShare share : report.loads()) {
       shares.put(
-          share.runner(), new RunnerLoads.Share(share.running(), share.unreadPromptTokens()));
+          share.runner(), new RunnerLoads.Load(share.running(), share.unreadPromptTokens()));
     }
     if (report.instance().equals(domainName())) {
       relaySilentSince = Long.MAX_VALUE;
-      loads.heardFromAll(report.instance(), shares, nowMilliseconds);
+      loads.replaceNeighbours(report.instance(), shares, nowMilliseconds);
     } else {
       loads.heard(report.instance(), shares, nowMilliseconds);
     }
@@ -136,11 +136,11 @@
     return "domain/" + localDomain.name();
   }
 
-  private static PeerMessage report(String reporter, Map<String, RunnerLoads.Share> reported) {
+  private static PeerMessage report(String reporter, Map<String, RunnerLoads.Load> reported) {
     List<PeerMessage.RunnerShare> shares = new ArrayList<>();
     reported.forEach(
         (runner, share) ->
-            shares.add(new PeerMessage.RunnerShare(runner, share.running(), share.unreadTokens())));
+            shares.add(new PeerMessage.RunnerShare(runner, share.running(), share.pendingPrefillTokens())));
     return new PeerMessage.RunnerLoadReport(reporter, shares);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -20,10 +20,10 @@
 import org.agatefield.lease.LeaseGrant;
 import org.agatefield.model.ModelDemand;
 import org.agatefield.model.WeightStoreLimits;
-import org.agatefield.placement.DemandBook;
+import org.agatefield.placement.DemandTracker;
 import org.agatefield.placement.EngineView;
 import org.agatefield.placement.LoadBudget;
-import org.agatefield.placement.ModelSize;
+import org.agatefield.placement.ModelProfile;
 import org.agatefield.placement.ReplicaMove;
 import org.agatefield.placement.ReplicaPolicy;
 import org.apache.logging.log4j.LogManager;
@@ -58,7 +58,7 @@
   private final ConfigurationTracker configuration;
   private final ReplicaPolicy policy;
   private final Announcements announcements;
-  private final DemandBook demand = new DemandBook();
+  private final DemandTracker demand = new DemandTracker();
   private final Map<String, EngineController> engines = new HashMap<>();
   private final OutstandingOrdersByRunner outstandingOrders = new OutstandingOrdersByRunner();
   private final Map<String, LoadBudget> budgets = new HashMap<>();
@@ -247,7 +247,7 @@
                 now);
     int allowed = Math.min(budget.available(), Math.max(0, concurrent - loading));
     long nowMilliseconds = MonotonicClock.milliseconds();
-    Map<String, DemandBook.Demand> demands = demand.demands(nowMilliseconds);
+    Map<String, DemandTracker.Demand> demands = demand.demands(nowMilliseconds);
     List<ReplicaMove> moves = policy.plan(views, sizes(pool), demands, allowed);
     logState(service, views, demands, allowed, nowMilliseconds);
     for (ReplicaMove move : moves) {
@@ -270,7 +270,7 @@
   private void logState(
       String service,
       List<EngineView> views,
-      Map<String, DemandBook.Demand> demands,
+      Map<String, DemandTracker.Demand> demands,
       int storeLoads,
       long now) {
     long interval = STATE_LOG_MILLISECONDS * (1 + views.size() / RUNNERS_PER_SECOND_OF_LOG);
@@ -297,7 +297,7 @@
                 .append(view.id())
                 .append('=')
                 .append(String.join("+", view.held()))
-                .append(view.orderable() ? "" : ",busy"));
+                .append(view.acceptsOrders() ? "" : ",busy"));
     LOGGER.info(
         "placement_state service={} store_loads={} tokens{} runners{}",
         service,
@@ -326,11 +326,11 @@
         .orElse(MAXIMUM_ADAPTER_MEGABYTES);
   }
 
-  private static List<ModelSize> sizes(EnginePool pool) {
+  private static List<ModelProfile> sizes(EnginePool pool) {
     return pool.models().stream()
         .map(
             model ->
-                new ModelSize(
+                new ModelProfile(
                     model.name(),
                     model.weightsMegabytes(),
                     model.storeLoadMilliseconds(),
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -142,7 +142,7 @@
         }
       }
     }
-    buckets.forgetUnused(this::isHolder, now);
+    buckets.removeUnused(this::isHolder, now);
   }
 
   /** Opens the connection to one holder in advance, so that no request has to wait for it. */
@@ -309,7 +309,7 @@
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
     double refill = Math.max(0, TARGET_SHARE * bucket.capacity() - bucket.level(now));
-    double requested = bucket.lacking(tokens, now) + refill;
+    double requested = bucket.shortfall(tokens, now) + refill;
     if (lenders.isEmpty() || requested <= 0) {
       loanPausedUntil.put(account.name(), now + LOAN_PAUSE_MILLISECONDS);
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -12,7 +12,7 @@
 import org.agatefield.forwarding.EventStreamSplitter;
 import org.agatefield.forwarding.ForwardedRequest;
 import org.agatefield.forwarding.RequestAction;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.forwarding.Route;
 import org.agatefield.forwarding.RunnerEntry;
 import org.apache.logging.log4j.LogManager;
@@ -36,7 +36,7 @@
   private final ForwardingContext context;
   private final Route route;
   private final String service;
-  private final RequestTerms terms;
+  private final RequestMetadata terms;
   private final long deadline;
   private final ForwardedRequest state;
   private final Consumer<List<RequestAction>> followUp;
@@ -44,7 +44,7 @@
   private final RunnerEntry runner;
   private final UpstreamCall call;
   private final long sentAt = MonotonicClock.milliseconds();
-  private final int newTokens;
+  private final int uncachedTokens;
   private final double tokensAhead;
   private UpstreamResponse head;
   private UpstreamResponse completeResponse;
@@ -55,7 +55,7 @@
   private long stallTimer = -1;
 
   /** The request that an attempt serves. Immutable. */
-  record ServedRequest(Route route, String service, RequestTerms terms, long deadline) {}
+  record ServedRequest(Route route, String service, RequestMetadata terms, long deadline) {}
 
   /**
    * Creates an attempt without sending anything.
@@ -87,13 +87,13 @@
             context.dialect().runners(),
             terms.id(),
             this);
-    this.newTokens =
-        terms.prompt().map(prompt -> context.loads().newTokens(runner.id(), prompt)).orElse(0);
-    this.tokensAhead = context.loads().total(runner.id(), sentAt).unreadTokens() + newTokens;
+    this.uncachedTokens =
+        terms.prompt().map(prompt -> context.loads().uncachedTokens(runner.id(), prompt)).orElse(0);
+    this.tokensAhead = context.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
   }
 
   void start(HttpServerRequest request, Supplier<MultiMap> headers, Buffer content) {
-    context.loads().sent(runner.id(), newTokens);
+    context.loads().sent(runner.id(), uncachedTokens);
     terms.prompt().ifPresent(prompt -> context.demand().running(service, prompt, runner.id(), 1));
     scheduleStallCheck();
     call.start(context.client(), runner, request.method(), request.uri(), headers, content);
@@ -225,13 +225,13 @@
     }
     began = true;
     long milliseconds = MonotonicClock.milliseconds() - sentAt;
-    context.loads().read(runner.id(), newTokens);
+    context.loads().read(runner.id(), uncachedTokens);
     context.selector().responseStarted(runner.id(), milliseconds);
     if (terms.prompt().isPresent()) {
-      context.loads().measuredReading(runner.id(), tokensAhead, milliseconds);
-      context.loads().keptParts(runner.id(), terms.prompt().get());
+      context.loads().recordPrefillTime(runner.id(), tokensAhead, milliseconds);
+      context.loads().recordCachedParts(runner.id(), terms.prompt().get());
     } else {
-      context.loads().measuredRequest(runner.id(), milliseconds);
+      context.loads().recordRequestTime(runner.id(), milliseconds);
     }
   }
 
@@ -242,7 +242,7 @@
     released = true;
     context.vertx().cancelTimer(stallTimer);
     if (!began) {
-      context.loads().read(runner.id(), newTokens);
+      context.loads().read(runner.id(), uncachedTokens);
     }
     context.loads().ended(runner.id());
     terms.prompt().ifPresent(prompt -> context.demand().running(service, prompt, runner.id(), -1));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
@@ -12,11 +12,11 @@
 import org.agatefield.forwarding.ClientAccount;
 import org.agatefield.forwarding.ForwardedRequest;
 import org.agatefield.forwarding.ForwardingTable;
-import org.agatefield.forwarding.PromptTerms;
+import org.agatefield.forwarding.GenerationParameters;
 import org.agatefield.forwarding.RefusalReason;
 import org.agatefield.forwarding.RequestAction;
-import org.agatefield.forwarding.RequestTerms;
-import org.agatefield.forwarding.ReturnAdvice;
+import org.agatefield.forwarding.RequestMetadata;
+import org.agatefield.forwarding.RetryDelay;
 import org.agatefield.forwarding.Route;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.SendPolicy;
@@ -50,7 +50,7 @@
   private final CallerResponse response;
   private final Route route;
   private final String service;
-  private final RequestTerms terms;
+  private final RequestMetadata terms;
   private final Buffer content;
   private final long arrivedAt;
   private final long deadline;
@@ -74,7 +74,7 @@
    * @param account the client account that the request belongs to; empty if the route needs none
    */
   record AdmittedRequest(
-      ForwardingTable table, Route route, Optional<ClientAccount> account, RequestTerms terms) {}
+      ForwardingTable table, Route route, Optional<ClientAccount> account, RequestMetadata terms) {}
 
   RequestExchange(
       ForwardingContext context,
@@ -101,7 +101,7 @@
     this.startBy = Math.min(deadline, arrivedAt + ResponseStartTimeout.milliseconds(route));
     this.state =
         new ForwardedRequest(
-            route.repetition(),
+            route.retryMode(),
             route.maximumAttempts(),
             terms.lastEventId(),
             () -> context.budgets().tryTake(service));
@@ -314,7 +314,7 @@
 
   /** Sends to the runner after making sure that it has the required adapter. */
   private void sendWithAdapter(RunnerEntry runner, long now) {
-    Optional<String> adapter = terms.prompt().flatMap(PromptTerms::adapter);
+    Optional<String> adapter = terms.prompt().flatMap(GenerationParameters::adapter);
     if (adapter.isEmpty()) {
       sendTo(runner);
       return;
@@ -367,7 +367,7 @@
     if (current == table || account.isEmpty() || !needed) {
       return true;
     }
-    return terms.key().flatMap(current.accounts()::holderOf).isPresent();
+    return terms.key().flatMap(current.accounts()::accountFor).isPresent();
   }
 
   private void send(RequestAction.Send send) {
@@ -424,9 +424,9 @@
         firstEventAt < 0 ? -1 : firstEventAt - arrivedAt,
         elapsed,
         deadline - arrivedAt,
-        terms.prompt().map(PromptTerms::model).orElse(""),
-        terms.prompt().flatMap(PromptTerms::adapter).orElse(""),
-        terms.prompt().map(PromptTerms::promptTokens).orElse(0),
+        terms.prompt().map(GenerationParameters::model).orElse(""),
+        terms.prompt().flatMap(GenerationParameters::adapter).orElse(""),
+        terms.prompt().map(GenerationParameters::promptTokens).orElse(0),
         table.version(),
         account.map(ClientAccount::name).orElse(""));
   }
@@ -446,7 +446,7 @@
       if (quotaTaken) {
         refundQuota();
       }
-      long retryMilliseconds = ReturnAdvice.milliseconds(refusal.reason(), retryAfter);
+      long retryMilliseconds = RetryDelay.milliseconds(refusal.reason(), retryAfter);
       response.refuse(refusal.reason(), CallerResponse.jittered(retryMilliseconds));
       return "refused_" + refusal.reason();
     } else if (finalAction instanceof RequestAction.Fail failure) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -25,9 +25,9 @@
   private final Map<String, Leaving> leaving = new HashMap<>();
   private final Map<String, Backoff> backoffs = new HashMap<>();
 
-  private record Leaving(long bornMilliseconds, long sinceMilliseconds) {}
+  private record Leaving(long startTimeMilliseconds, long sinceMilliseconds) {}
 
-  private record Backoff(long bornMilliseconds, long untilMilliseconds) {}
+  private record Backoff(long startTimeMilliseconds, long untilMilliseconds) {}
 
   /** Creates a tracker that passes new announcements to {@code broadcast}. */
   RunnerAvailability(Consumer<PeerMessage> broadcast) {
@@ -39,21 +39,21 @@
     if (isLeaving(runner)) {
       return;
     }
-    recordLeaving(runner.id(), runner.bornMilliseconds(), MonotonicClock.milliseconds());
+    recordLeaving(runner.id(), runner.startTimeMilliseconds(), MonotonicClock.milliseconds());
     broadcast.accept(
         new PeerMessage.RunnerNotice(
-            runner.id(), runner.bornMilliseconds(), OptionalLong.of(0), 0));
+            runner.id(), runner.startTimeMilliseconds(), OptionalLong.of(0), 0));
   }
 
   /** Records a response in which a runner rejected a request and asked for a backoff. */
   void backoffRequested(RunnerEntry runner, long milliseconds) {
     long now = MonotonicClock.milliseconds();
     boolean alreadyBackingOff = backoffUntil(runner, now) > now;
-    recordBackoff(runner.id(), runner.bornMilliseconds(), now + milliseconds);
+    recordBackoff(runner.id(), runner.startTimeMilliseconds(), now + milliseconds);
     if (!alreadyBackingOff) {
       broadcast.accept(
           new PeerMessage.RunnerNotice(
-              runner.id(), runner.bornMilliseconds(), OptionalLong.empty(), milliseconds));
+              runner.id(), runner.startTimeMilliseconds(), OptionalLong.empty(), milliseconds));
     }
   }
 
@@ -61,15 +61,15 @@
   void noticeReceived(PeerMessage.RunnerNotice notice, long now) {
     notice
         .leavingAgeMilliseconds()
-        .ifPresent(age -> recordLeaving(notice.runner(), notice.bornMilliseconds(), now - age));
+        .ifPresent(age -> recordLeaving(notice.runner(), notice.startTimeMilliseconds(), now - age));
     if (notice.quietMilliseconds() > 0) {
-      recordBackoff(notice.runner(), notice.bornMilliseconds(), now + notice.quietMilliseconds());
+      recordBackoff(notice.runner(), notice.startTimeMilliseconds(), now + notice.quietMilliseconds());
     }
   }
 
   boolean isLeaving(RunnerEntry runner) {
     Leaving recorded = leaving.get(runner.id());
-    return recorded != null && recorded.bornMilliseconds() == runner.bornMilliseconds();
+    return recorded != null && recorded.startTimeMilliseconds() == runner.startTimeMilliseconds();
   }
 
   /**
@@ -78,7 +78,7 @@
    */
   long backoffUntil(RunnerEntry runner, long now) {
     Backoff recorded = backoffs.get(runner.id());
-    boolean current = recorded != null && recorded.bornMilliseconds() == runner.bornMilliseconds();
+    boolean current = recorded != null && recorded.startTimeMilliseconds() == runner.startTimeMilliseconds();
     return current ? recorded.untilMilliseconds() : now;
   }
 
@@ -90,7 +90,7 @@
 
   private void recordLeaving(String runner, long processStart, long since) {
     Leaving recorded = leaving.get(runner);
-    if (recorded != null && recorded.bornMilliseconds() >= processStart) {
+    if (recorded != null && recorded.startTimeMilliseconds() >= processStart) {
       return;
     }
     leaving.put(runner, new Leaving(processStart, since));
@@ -105,7 +105,7 @@
     Backoff recorded = backoffs.get(runner);
     boolean longer =
         recorded != null
-            && recorded.bornMilliseconds() == processStart
+            && recorded.startTimeMilliseconds() == processStart
             && recorded.untilMilliseconds() >= until;
     if (longer) {
       return;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.agatefield.forwarding.PromptTerms;
+import org.agatefield.forwarding.GenerationParameters;
 import org.agatefield.forwarding.RunnerCandidate;
 import org.agatefield.forwarding.RunnerCandidate.Distance;
-import org.agatefield.forwarding.RunnerChoice;
+import org.agatefield.forwarding.RunnerChooser;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerLoads;
 import org.agatefield.model.FailureDomain;
@@ -31,7 +31,7 @@
   private final RunnerLoads loads;
   private final ModelPresence presence;
   private final RunnerAvailability availability;
-  private final RunnerChoice choice;
+  private final RunnerChooser choice;
   private final OutlierDetector outliers = new OutlierDetector(EJECTION_NANOSECONDS);
 
   private final Map<String, Long> lastDataAt = new HashMap<>();
@@ -66,7 +66,7 @@
       RunnerLoads loads,
       ModelPresence presence,
       RunnerAvailability availability,
-      RunnerChoice choice) {
+      RunnerChooser choice) {
     this.localDomain = localDomain;
     this.regions = regions;
     this.directory = directory;
@@ -77,7 +77,7 @@
     directory.listen(this);
   }
 
-  Selection select(String service, Optional<PromptTerms> prompt, Set<String> tried, long now) {
+  Selection select(String service, Optional<GenerationParameters> prompt, Set<String> tried, long now) {
     List<RunnerEntry> usable =
         directory.usable(service).stream().filter(entry -> !availability.isLeaving(entry)).toList();
     if (usable.isEmpty()) {
@@ -117,7 +117,7 @@
     return directory
         .entry(runner.id())
         .filter(entry -> !entry.draining())
-        .filter(entry -> entry.bornMilliseconds() == runner.bornMilliseconds())
+        .filter(entry -> entry.startTimeMilliseconds() == runner.startTimeMilliseconds())
         .filter(entry -> !availability.isLeaving(entry))
         .filter(entry -> availability.backoffUntil(entry, now) <= now)
         .isPresent();
@@ -146,7 +146,7 @@
   }
 
   void responseStarted(String runner, long milliseconds) {
-    outliers.firstPart(runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
+    outliers.firstPartReceived(runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
   }
 
   @Override
@@ -154,7 +154,7 @@
     presence.entryChanged(entry, MonotonicClock.milliseconds());
     if (newProcess) {
       presence.forget(entry.id());
-      loads.forgetKeptParts(entry.id());
+      loads.clearCachedParts(entry.id());
       outliers.forget(entry.id());
     }
   }
@@ -167,7 +167,7 @@
     outliers.forget(id);
   }
 
-  private boolean servesPrompt(RunnerEntry entry, Optional<PromptTerms> prompt, long now) {
+  private boolean servesPrompt(RunnerEntry entry, Optional<GenerationParameters> prompt, long now) {
     return prompt.isEmpty() || presence.hasModel(entry, prompt.get().model(), now);
   }
 
@@ -175,11 +175,11 @@
     return entries.stream().filter(entry -> !tried.contains(entry.id())).toList();
   }
 
-  private RunnerCandidate candidate(RunnerEntry entry, Optional<PromptTerms> prompt, long now) {
-    RunnerLoads.Share share = loads.total(entry.id(), now);
+  private RunnerCandidate candidate(RunnerEntry entry, Optional<GenerationParameters> prompt, long now) {
+    RunnerLoads.Load share = loads.total(entry.id(), now);
     boolean adapterPresent =
         prompt
-            .flatMap(PromptTerms::adapter)
+            .flatMap(GenerationParameters::adapter)
             .map(name -> presence.hasAdapter(entry.id(), prompt.get().model(), name, now))
             .orElse(true);
     return new RunnerCandidate(
@@ -187,10 +187,10 @@
         distance(entry.failureDomain()),
         share.running(),
         entry.slots(),
-        share.unreadTokens(),
+        share.pendingPrefillTokens(),
         loads.millisecondsPerToken(entry.id()),
         prompt.isPresent() ? 0 : loads.millisecondsPerRequest(entry.id()),
-        prompt.map(terms -> loads.newTokens(entry.id(), terms)).orElse(0),
+        prompt.map(terms -> loads.uncachedTokens(entry.id(), terms)).orElse(0),
         adapterPresent);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.model.Address;
 
 /** Defines how callers and the platform's checks communicate with an instance. Stateless. */
@@ -23,7 +23,7 @@
   Buffer directoryAnswer(List<Address> addresses, Duration timeToLive);
 
   /** Reads the terms in a request's headers; missing ones are empty. */
-  RequestTerms requestTerms(MultiMap headers);
+  RequestMetadata requestTerms(MultiMap headers);
 
   /** Returns the name of the header that carries a client's API key. */
   String keyHeader();
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApiParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApiDependencies.java
@@ -8,7 +8,7 @@
 import org.agatefield.daemon.core.EntryDirectory;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.NonRepeatableCalls;
+import org.agatefield.daemon.core.NonRepeatableCallExecutor;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.settings.DaemonSettings;
 
@@ -24,17 +24,17 @@
  * @param entries answers which instances to use
  * @param instances knows this instance
  * @param shutdown knows whether this instance takes new requests
- * @param monitor told of broken promises
+ * @param monitor reported of broken promises
  * @param metrics counts requests and errors
  * @param limits bounds of the work
  */
-public record CallerApiParts(
+public record CallerApiDependencies(
     Vertx vertx,
     ConfigurationSource configuration,
     Dispatcher dispatcher,
     EngineClient engines,
     AdapterLoader adapterLoader,
-    NonRepeatableCalls nonRepeatableCalls,
+    NonRepeatableCallExecutor nonRepeatableCalls,
     EntryDirectory entries,
     InstanceDirectory instances,
     ShutdownCoordinator shutdown,
--- a/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
@@ -14,8 +14,8 @@
 import org.agatefield.daemon.calls.OutcomeQuery;
 import org.agatefield.daemon.core.ConfigurationSource;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceExchange;
-import org.agatefield.daemon.core.UpstreamKeys;
+import org.agatefield.daemon.core.ServiceResponse;
+import org.agatefield.daemon.core.UpstreamIdempotencyKeys;
 import org.agatefield.model.Upstream;
 
 /**
@@ -38,21 +38,21 @@
   }
 
   @Override
-  public CompletableFuture<Optional<ServiceExchange>> ask(NonRepeatableCall call) {
+  public CompletableFuture<Optional<ServiceResponse>> ask(NonRepeatableCall call) {
     Optional<String> template = call.service().outcomePath();
     if (template.isEmpty()) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
     String key =
-        URLEncoder.encode(UpstreamKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
-    ServiceMessage question =
-        new ServiceMessage(
+        URLEncoder.encode(UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
+    UpstreamServiceRequest statusRequest =
+        new UpstreamServiceRequest(
             HttpMethod.GET,
             template.get().replace(KEY_PLACEHOLDER, key),
             Map.of(),
             Buffer.buffer(),
             TIMEOUT);
-    return askNext(runners(call.service().name()).iterator(), question);
+    return queryNext(runners(call.service().name()).iterator(), statusRequest);
   }
 
   private List<Upstream> runners(String service) {
@@ -61,22 +61,22 @@
         .toList();
   }
 
-  private CompletableFuture<Optional<ServiceExchange>> askNext(
-      Iterator<Upstream> runners, ServiceMessage question) {
+  private CompletableFuture<Optional<ServiceResponse>> queryNext(
+      Iterator<Upstream> runners, UpstreamServiceRequest statusRequest) {
     if (!runners.hasNext()) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
     return client
-        .send(runners.next().address(), question)
+        .send(runners.next().address(), statusRequest)
         .handle((exchange, failure) -> outcome(exchange, failure))
         .thenCompose(
             found ->
                 found.isPresent()
                     ? CompletableFuture.completedFuture(found)
-                    : askNext(runners, question));
+                    : queryNext(runners, statusRequest));
   }
 
-  private static Optional<ServiceExchange> outcome(ServiceExchange exchange, Throwable failure) {
+  private static Optional<ServiceResponse> outcome(ServiceResponse exchange, Throwable failure) {
     return failure == null && exchange.status() == FOUND ? Optional.of(exchange) : Optional.empty();
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
@@ -62,48 +62,48 @@
   }
 
   /** Sends a call that may be sent again. */
-  CompletableFuture<ServiceExchange> send(Address runner, ServiceMessage message) {
-    return connect(pooled, runner, message);
+  CompletableFuture<ServiceResponse> send(Address runner, UpstreamServiceRequest upstreamRequest) {
+    return connect(pooled, runner, upstreamRequest);
   }
 
   /** Sends a call that must not be sent again. */
-  CompletableFuture<ServiceExchange> sendOnce(Address runner, ServiceMessage message) {
-    return connect(unpooled, runner, message);
+  CompletableFuture<ServiceResponse> sendOnce(Address runner, UpstreamServiceRequest upstreamRequest) {
+    return connect(unpooled, runner, upstreamRequest);
   }
 
-  private static CompletableFuture<ServiceExchange> connect(
-      HttpClient client, Address runner, ServiceMessage message) {
-    CompletableFuture<ServiceExchange> result = new CompletableFuture<>();
+  private static CompletableFuture<ServiceResponse> connect(
+      HttpClient client, Address runner, UpstreamServiceRequest upstreamRequest) {
+    CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
     RequestOptions target =
         new RequestOptions()
-            .setMethod(message.method())
+            .setMethod(upstreamRequest.method())
             .setHost(runner.host())
             .setPort(runner.port())
-            .setURI(message.path());
+            .setURI(upstreamRequest.path());
     client
         .request(target)
         .onFailure(failure -> result.completeExceptionally(notConnected(runner, failure)))
-        .onSuccess(request -> exchange(request, message, runner, result));
+        .onSuccess(request -> exchange(request, upstreamRequest, runner, result));
     return result;
   }
 
   private static void exchange(
       HttpClientRequest request,
-      ServiceMessage message,
+      UpstreamServiceRequest upstreamRequest,
       Address runner,
-      CompletableFuture<ServiceExchange> result) {
-    message.headers().forEach(request::putHeader);
-    request.idleTimeout(message.timeout().toMillis());
+      CompletableFuture<ServiceResponse> result) {
+    upstreamRequest.headers().forEach(request::putHeader);
+    request.idleTimeout(upstreamRequest.timeout().toMillis());
     result.whenComplete((done, failure) -> resetIfUnfinished(request, result));
     request
-        .send(message.body())
+        .send(upstreamRequest.body())
         .compose(response -> new AnswerCollector(response).collect())
         .onSuccess(result::complete)
         .onFailure(failure -> result.completeExceptionally(failed(runner, failure)));
   }
 
   private static void resetIfUnfinished(
-      HttpClientRequest request, CompletableFuture<ServiceExchange> result) {
+      HttpClientRequest request, CompletableFuture<ServiceResponse> result) {
     if (result.isCompletedExceptionally()) {
       request.reset();
     }
@@ -127,21 +127,21 @@
   /** Collects one answer within the limit. Confined to the context of the response. */
   private static final class AnswerCollector {
     private final HttpClientResponse response;
-    private final Promise<ServiceExchange> promise = Promise.promise();
+    private final Promise<ServiceResponse> promise = Promise.promise();
     private final Buffer body = Buffer.buffer();
 
     private AnswerCollector(HttpClientResponse response) {
       this.response = response;
     }
 
-    private Future<ServiceExchange> collect() {
+    private Future<ServiceResponse> collect() {
       response.exceptionHandler(promise::tryFail);
-      response.handler(this::take);
+      response.handler(this::append);
       response.endHandler(ignored -> promise.tryComplete(exchange()));
       return promise.future();
     }
 
-    private void take(Buffer bytes) {
+    private void append(Buffer bytes) {
       if (body.length() + bytes.length() > MAXIMUM_ANSWER_BYTES) {
         promise.tryFail(
             new AgatefieldException(
@@ -152,14 +152,14 @@
       body.appendBuffer(bytes);
     }
 
-    private ServiceExchange exchange() {
-      List<ServiceExchange.Header> headers = new ArrayList<>();
+    private ServiceResponse exchange() {
+      List<ServiceResponse.Header> headers = new ArrayList<>();
       for (Map.Entry<String, String> header : response.headers()) {
         if (!HOP_BY_HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
-          headers.add(new ServiceExchange.Header(header.getKey(), header.getValue()));
+          headers.add(new ServiceResponse.Header(header.getKey(), header.getValue()));
         }
       }
-      return new ServiceExchange(response.statusCode(), headers, body);
+      return new ServiceResponse(response.statusCode(), headers, body);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/leases/LeaseDuty.java
+++ b/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
@@ -37,8 +37,8 @@
  * <p>Invariant: at most one call of the store runs at once. State is guarded by the object's lock,
  * which is not held during calls. Safe for use by any thread.
  */
-public final class LeaseDuty implements LeaseView, AutoCloseable {
-  private static final Logger LOGGER = LogManager.getLogger(LeaseDuty.class);
+public final class LeaseManager implements LeaseView, AutoCloseable {
+  private static final Logger LOGGER = LogManager.getLogger(LeaseManager.class);
   private static final long CLOCK_DRIFT_PER_MILLION = 10_000;
   private static final long RELEASE_LIMIT_SECONDS = 1;
   private static final int RENEWALS_PER_DURATION = 4;
@@ -64,7 +64,7 @@
    * @param holder unique to the process
    * @param duration how long a grant lasts after a write
    */
-  public LeaseDuty(
+  public LeaseManager(
       Vertx vertx, ObjectStore store, String leaseName, String holder, Duration duration) {
     this(vertx, store, leaseName, holder, duration, other -> false, () -> true);
   }
@@ -78,7 +78,7 @@
    * @param dead true only for holders that are proved to have ended
    * @param contends whether this process is to acquire the lease if it is free
    */
-  public LeaseDuty(
+  public LeaseManager(
       Vertx vertx,
       ObjectStore store,
       String leaseName,
@@ -118,7 +118,7 @@
    * Drops the grant until the store has confirmed the lease again, for a caller that has reason to
    * think that this process stood still. The answer to a write that is under way grants nothing.
    */
-  public synchronized void distrust() {
+  public synchronized void invalidateGrant() {
     if (closed) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/operate/ConfigurationRoutes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/ConfigurationRoutes.java
@@ -10,7 +10,7 @@
 import org.agatefield.configuration.ConfigurationFaultsException;
 import org.agatefield.configuration.ConfigurationReader;
 import org.agatefield.configuration.ConfigurationWriter;
-import org.agatefield.daemon.configuration.ConfigurationKeeper;
+import org.agatefield.daemon.configuration.ConfigurationManager;
 import org.agatefield.daemon.configuration.ConfigurationRefusedException;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ConfigurationDocument;
@@ -18,9 +18,9 @@
 
 /** The operators' requests about the configuration. Immutable; safe for use by any thread. */
 final class ConfigurationRoutes {
-  private final ConfigurationKeeper keeper;
+  private final ConfigurationManager keeper;
 
-  ConfigurationRoutes(ConfigurationKeeper keeper) {
+  ConfigurationRoutes(ConfigurationManager keeper) {
     this.keeper = keeper;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApiDependencies.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.agatefield.daemon.configuration.ConfigurationKeeper;
+import org.agatefield.daemon.configuration.ConfigurationManager;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.LeaseView;
@@ -18,8 +18,8 @@
  * @param monitor counts violations
  * @param drain begins to shut this instance down gracefully; completes when it has begun
  */
-public record OperatorParts(
-    ConfigurationKeeper configuration,
+public record OperatorApiDependencies(
+    ConfigurationManager configuration,
     InstanceDirectory instances,
     LedgerDirectory ledgers,
     LeaseView plannerLease,
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LedgerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LedgerDirectory.java
@@ -50,7 +50,7 @@
   private final Map<String, LoadReport> reports = new ConcurrentHashMap<>();
   private final Map<String, Long> askedAtNanoseconds = new ConcurrentHashMap<>();
   private final Set<String> polled = ConcurrentHashMap.newKeySet();
-  private Map<String, KnownLedger> ledgers = Map.of();
+  private Map<String, StoredLedger> ledgers = Map.of();
   private volatile List<Replica> replicas = List.of();
 
   /** Creates a directory; {@link #start()} starts it. */
@@ -106,11 +106,11 @@
   }
 
   private synchronized void learn(Map<String, StoredObject> objects) {
-    Map<String, KnownLedger> learnt = new TreeMap<>();
+    Map<String, StoredLedger> learnt = new TreeMap<>();
     for (StoredObject object : objects.values()) {
-      KnownLedger known = ledgers.get(object.key().name());
+      StoredLedger known = ledgers.get(object.key().name());
       boolean same = known != null && known.isOf(object);
-      learnt.put(object.key().name(), same ? known : KnownLedger.of(object));
+      learnt.put(object.key().name(), same ? known : StoredLedger.of(object));
     }
     ledgers = learnt;
     rebuild();
@@ -122,7 +122,7 @@
         document.adapters().stream()
             .collect(Collectors.toMap(Adapter::name, Adapter::memoryMegabytes));
     List<Replica> rebuilt = new ArrayList<>();
-    for (KnownLedger known : ledgers.values()) {
+    for (StoredLedger known : ledgers.values()) {
       RunnerLedger ledger = known.ledger();
       if (document.upstream(ledger.upstream()).isEmpty() || isRestarted(ledger)) {
         continue;
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LedgerTable.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LedgerTable.java
@@ -23,7 +23,7 @@
  */
 final class LedgerTable {
   private final ObjectStore store;
-  private final Map<String, KnownLedger> ledgers = new HashMap<>();
+  private final Map<String, StoredLedger> ledgers = new HashMap<>();
   private final Set<String> doubtful = new HashSet<>();
 
   LedgerTable(ObjectStore store) {
@@ -31,7 +31,7 @@
   }
 
   synchronized Optional<RunnerLedger> get(String upstream) {
-    return Optional.ofNullable(ledgers.get(upstream)).map(KnownLedger::ledger);
+    return Optional.ofNullable(ledgers.get(upstream)).map(StoredLedger::ledger);
   }
 
   /** Returns whether the ledger is known and no failed write has put it in doubt. */
@@ -95,11 +95,11 @@
 
   private synchronized Optional<StoredObject> beginWrite(String upstream) {
     doubtful.add(upstream);
-    return Optional.ofNullable(ledgers.get(upstream)).map(KnownLedger::object);
+    return Optional.ofNullable(ledgers.get(upstream)).map(StoredLedger::object);
   }
 
   private synchronized void put(StoredObject object) {
-    ledgers.put(object.key().name(), KnownLedger.of(object));
+    ledgers.put(object.key().name(), StoredLedger.of(object));
     doubtful.remove(object.key().name());
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/placing/RunnerReports.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LoadReportPoller.java
@@ -1,7 +1,7 @@
 package org.agatefield.daemon.placing;
 
 import io.vertx.core.Context;
-import org.agatefield.daemon.core.InvariantMonitor.Promise;
+import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.placement.RunnerObservation;
@@ -12,10 +12,10 @@
  * <p>Invariant: a runner's observation is never replaced by one that was asked for earlier.
  * Confined to the planner's context.
  */
-final class RunnerReports {
-  private final PlacementParts parts;
+final class LoadReportPoller {
+  private final PlacementContext parts;
 
-  RunnerReports(PlacementParts parts) {
+  LoadReportPoller(PlacementContext parts) {
     this.parts = parts;
   }
 
@@ -43,7 +43,7 @@
     parts
         .monitor()
         .check(
-            Promise.MEMORY,
+            Invariant.MEMORY,
             report.usedMegabytes() <= report.memoryMegabytes(),
             () -> runner.name() + " uses more memory than it has: " + report);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/OrderSender.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/OrderSender.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.engine.EngineOrder;
 import org.agatefield.engine.OrderAction;
 import org.agatefield.engine.OrderResult;
@@ -22,10 +22,10 @@
 final class OrderSender {
   private static final Logger LOGGER = LogManager.getLogger(OrderSender.class);
 
-  private final PlacementParts parts;
-  private final PlacementTerms terms;
+  private final PlacementContext parts;
+  private final PlacementTimings terms;
 
-  OrderSender(PlacementParts parts, PlacementTerms terms) {
+  OrderSender(PlacementContext parts, PlacementTimings terms) {
     this.parts = parts;
     this.terms = terms;
   }
@@ -36,7 +36,7 @@
     if (grant.filter(each -> each.fencingToken() == leaseToken).isEmpty()) {
       return CompletableFuture.failedFuture(new IllegalStateException("the lease is lost"));
     }
-    parts.hook().reached(Step.BEFORE_ORDER, runner.name());
+    parts.hook().reached(FailPoint.BEFORE_ORDER, runner.name());
     parts.metrics().counter("agatefield.placement.orders").inc();
     return parts
         .engines()
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
@@ -7,7 +7,7 @@
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.LeaseView;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.store.ObjectStore;
 
@@ -25,7 +25,7 @@
  * @param metrics counts moves and orders
  * @param hook told of steps
  */
-public record PlacementParts(
+public record PlacementContext(
     Vertx vertx,
     ObjectStore store,
     EngineClient engines,
@@ -35,4 +35,4 @@
     InstanceDirectory instances,
     InvariantMonitor monitor,
     MetricRegistry metrics,
-    StepHook hook) {}
+    FailPointHook hook) {}
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementDuty.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.InvariantMonitor.Promise;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.InvariantMonitor.Invariant;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.engine.OrderResult;
 import org.agatefield.lease.LeaseGrant;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.model.UpstreamKind;
-import org.agatefield.placement.DrainRules;
+import org.agatefield.placement.DrainPolicy;
 import org.agatefield.placement.LedgerAges;
 import org.agatefield.placement.LoadBudget;
 import org.agatefield.placement.MoveKind;
@@ -26,8 +26,8 @@
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
-import org.agatefield.placement.RunnerStep;
-import org.agatefield.placement.RunnerSteps;
+import org.agatefield.placement.ReconciliationStep;
+import org.agatefield.placement.RunnerReconciler;
 import org.agatefield.placement.RunnerView;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -40,18 +40,18 @@
  * on older ledgers can no longer be written; one write or order runs for a runner at a time. All
  * state is confined to one Vert.x context.
  */
-public final class PlacementDuty implements AutoCloseable {
-  private static final Logger LOGGER = LogManager.getLogger(PlacementDuty.class);
+public final class PlacementController implements AutoCloseable {
+  private static final Logger LOGGER = LogManager.getLogger(PlacementController.class);
   private static final long NO_LEASE = -1;
 
-  private final PlacementParts parts;
-  private final PlacementTerms terms;
+  private final PlacementContext parts;
+  private final PlacementTimings terms;
   private final PlacementPlanner planner;
-  private final RunnerSteps steps;
+  private final RunnerReconciler steps;
   private final LedgerTable table;
   private final PlannerTakeover takeover;
   private final OrderSender sender;
-  private final RunnerReports reports;
+  private final LoadReportPoller reports;
   private final LedgerAges ages = new LedgerAges();
   private final Map<String, RunnerState> runners = new HashMap<>();
   private Context context;
@@ -63,21 +63,21 @@
   private LoadBudget budget = LoadBudget.startingAt(System.nanoTime());
 
   /** Creates a duty; {@link #start()} starts it. */
-  public PlacementDuty(PlacementParts parts, PlacementTerms terms, PlacementPolicy policy) {
+  public PlacementController(PlacementContext parts, PlacementTimings terms, PlacementPolicy policy) {
     this.parts = parts;
     this.terms = terms;
     this.table = new LedgerTable(parts.store());
     this.takeover = new PlannerTakeover(table);
     this.sender = new OrderSender(parts, terms);
-    this.reports = new RunnerReports(parts);
-    this.steps = new RunnerSteps(terms.orderQuarantine().toNanos());
-    DrainRules drainRules =
-        new DrainRules(terms.minimumDrain().toNanos(), terms.maximumDrain().toNanos());
+    this.reports = new LoadReportPoller(parts);
+    this.steps = new RunnerReconciler(terms.orderQuarantine().toNanos());
+    DrainPolicy drainRules =
+        new DrainPolicy(terms.minimumDrain().toNanos(), terms.maximumDrain().toNanos());
     this.planner = new PlacementPlanner(policy, drainRules);
   }
 
   /** Starts the rounds. */
-  public PlacementDuty start() {
+  public PlacementController start() {
     context = parts.vertx().getOrCreateContext();
     timer =
         parts
@@ -199,12 +199,12 @@
     takeover.renew(runner, token).whenComplete((done, failure) -> ended(runner, state, failure));
   }
 
-  private void take(Upstream runner, RunnerState state, RunnerLedger before, RunnerStep step) {
+  private void take(Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
     state.begin();
     long token = heldToken;
     LOGGER.info("placement step upstream={} reason=\"{}\"", runner.name(), step.reason());
     if (step.releasesMemory()) {
-      parts.hook().reached(Step.BEFORE_RELEASE, runner.name());
+      parts.hook().reached(FailPoint.BEFORE_RELEASE, runner.name());
     }
     CompletableFuture<Void> written =
         step.ledger().equals(before)
@@ -237,7 +237,7 @@
     parts
         .monitor()
         .check(
-            Promise.MEMORY,
+            Invariant.MEMORY,
             result != OrderResult.REFUSED_NO_MEMORY,
             () -> runner.name() + " had no memory for what its ledger reserved: " + order);
     if (result == OrderResult.DONE && order.action() == PlannedOrder.Action.UNLOAD) {
@@ -334,7 +334,7 @@
 
   private void reserved(PlannedMove move) {
     if (move.kind() == MoveKind.LOAD) {
-      parts.hook().reached(Step.AFTER_RESERVATION, move.upstream());
+      parts.hook().reached(FailPoint.AFTER_RESERVATION, move.upstream());
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementTerms.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementTimings.java
@@ -13,7 +13,7 @@
  * @param maximumDrain how long requests that run on a draining replica may take to end
  * @param reportLifetime age above which a load report no longer shows that an engine is alive
  */
-public record PlacementTerms(
+public record PlacementTimings(
     Duration roundInterval,
     Duration orderTimeout,
     Duration orderQuarantine,
@@ -21,8 +21,8 @@
     Duration maximumDrain,
     Duration reportLifetime) {
   /** Returns the terms of a daemon with the given quarantine and longest request. */
-  public static PlacementTerms standard(Duration orderQuarantine, Duration longestRequest) {
-    return new PlacementTerms(
+  public static PlacementTimings standard(Duration orderQuarantine, Duration longestRequest) {
+    return new PlacementTimings(
         Duration.ofMillis(500),
         Duration.ofSeconds(30),
         orderQuarantine,
--- a/daemon/src/main/java/org/agatefield/daemon/placing/KnownLedger.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/StoredLedger.java
@@ -9,9 +9,9 @@
  * @param object the stored object
  * @param ledger what it holds
  */
-record KnownLedger(StoredObject object, RunnerLedger ledger) {
-  static KnownLedger of(StoredObject object) {
-    return new KnownLedger(object, LedgerCodec.decode(object));
+record StoredLedger(StoredObject object, RunnerLedger ledger) {
+  static StoredLedger of(StoredObject object) {
+    return new StoredLedger(object, LedgerCodec.decode(object));
   }
 
   boolean isOf(StoredObject other) {
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RacingOperators.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
@@ -20,14 +20,14 @@
  * Operators who race each other at several instances, over a store and peers whose order a seed
  * decides. Used from one thread.
  */
-final class RacingOperators {
+final class ConcurrentOperatorsSimulation {
   private static final int INSTANCES = 3;
   private static final int STEPS = 400;
 
   private final UniformRandomProvider random;
-  private final ScheduledStore store;
+  private final RandomOrderStore store;
   private final ConfigurationHistory history;
-  private final List<ConfigurationInForce> instances = new ArrayList<>();
+  private final List<ActiveConfiguration> instances = new ArrayList<>();
   private final List<List<ConfigurationDocument>> adopted = new ArrayList<>();
   private final Map<ConfigurationDocument, String> answers = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
@@ -39,13 +39,13 @@
    *
    * @param adoptAnything whether instances adopt what they hear last, also an earlier document
    */
-  RacingOperators(long seed, Set<ScheduledStore.Mechanism> off, boolean adoptAnything) {
+  ConcurrentOperatorsSimulation(long seed, Set<RandomOrderStore.Mechanism> off, boolean adoptAnything) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    this.store = new ScheduledStore(random, off);
+    this.store = new RandomOrderStore(random, off);
     this.history = new ConfigurationHistory(store);
     this.adoptAnything = adoptAnything;
     for (int i = 0; i < INSTANCES; i++) {
-      ConfigurationInForce instance = new ConfigurationInForce(new Monitor());
+      ActiveConfiguration instance = new ActiveConfiguration(new Monitor());
       List<ConfigurationDocument> heard = new ArrayList<>();
       instance.subscribe(heard::add);
       instances.add(instance);
@@ -99,7 +99,7 @@
             base.services(),
             base.upstreams(),
             new WeightStoreLimits(documents, 1, 1));
-    new ConfigurationApplication(store, history, document, store)
+    new ConfigurationUpdate(store, history, document, store)
         .run()
         .whenComplete((accepted, failure) -> answered(instance, document, accepted, failure));
   }
@@ -120,7 +120,7 @@
 
   /** A watch or list reports any version that the object ever had. */
   private void learnFromStore(int instance) {
-    List<StoredObject> versions = store.versionsOf(ConfigurationApplication.CURRENT);
+    List<StoredObject> versions = store.versionsOf(ConfigurationUpdate.CURRENT);
     if (!versions.isEmpty()) {
       StoredObject version = versions.get(random.nextInt(versions.size()));
       offer(instance, ConfigurationCodec.decode(version));
@@ -137,7 +137,7 @@
   }
 
   private List<ConfigurationDocument> acceptedDocuments() {
-    return store.versionsOf(ConfigurationApplication.CURRENT).stream()
+    return store.versionsOf(ConfigurationUpdate.CURRENT).stream()
         .map(ConfigurationCodec::decode)
         .toList();
   }
@@ -180,7 +180,7 @@
   /** Counts what the instance itself reports. */
   private final class Monitor implements InvariantMonitor {
     @Override
-    public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+    public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
       if (!holds) {
         violations.add(evidence.get());
       }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RacingOperatorsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
@@ -9,25 +9,25 @@
 import java.util.stream.LongStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.agatefield.daemon.configuration.ScheduledStore.Mechanism;
+import org.agatefield.daemon.configuration.RandomOrderStore.Mechanism;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Requirement REQ-CONFIGURATION: an accepted configuration is never undone. */
-class RacingOperatorsTest {
+class ConcurrentOperatorsTest {
   private static final int SEEDS = 200;
 
   @Property(tries = 500, seed = "42")
   void acceptedDocumentsAreNeverUndoneAndAnswersAreTrue(@ForAll long seed) {
-    assertEquals(List.of(), new RacingOperators(seed, Set.of(), false).run());
+    assertEquals(List.of(), new ConcurrentOperatorsSimulation(seed, Set.of(), false).run());
   }
 
   @Test
   void racesHaveDocumentsAccepted() {
     int accepted = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
-      RacingOperators race = new RacingOperators(seed, Set.of(), false);
+      ConcurrentOperatorsSimulation race = new ConcurrentOperatorsSimulation(seed, Set.of(), false);
       race.run();
       accepted += race.accepted();
     }
@@ -47,7 +47,7 @@
 
   private static long failures(Set<Mechanism> off, boolean adoptAnything) {
     return LongStream.range(0, SEEDS)
-        .filter(seed -> !new RacingOperators(seed, off, adoptAnything).run().isEmpty())
+        .filter(seed -> !new ConcurrentOperatorsSimulation(seed, off, adoptAnything).run().isEmpty())
         .count();
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ScheduledStore.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
@@ -27,7 +27,7 @@
  * <p>Answers are lost, with or without effect, and effects may come long after the answer was given
  * up; reads may lag. Used from one thread.
  */
-final class ScheduledStore implements ObjectStore, Executor {
+final class RandomOrderStore implements ObjectStore, Executor {
   /** What a test may switch off. */
   enum Mechanism {
     /** Updates are conditional on the version. */
@@ -44,7 +44,7 @@
   private final List<Runnable> pending = new ArrayList<>();
   private int lastVersion;
 
-  ScheduledStore(UniformRandomProvider random, Set<Mechanism> off) {
+  RandomOrderStore(UniformRandomProvider random, Set<Mechanism> off) {
     this.random = random;
     this.off = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
   }
--- a/daemon/src/test/java/org/agatefield/daemon/core/UpstreamKeysTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/core/UpstreamIdempotencyKeysTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-class UpstreamKeysTest {
+class UpstreamIdempotencyKeysTest {
   @Property(tries = 1000, seed = "42")
   void sameKeyOfTwoCallersIsDifferentForTheService(
       @ForAll @CharRange(from = 'a', to = 'c') @StringLength(min = 1, max = 3) String first,
@@ -17,12 +17,12 @@
       @ForAll @CharRange(from = ':', to = ';') @StringLength(min = 1, max = 4) String key,
       @ForAll @CharRange(from = ':', to = ';') @StringLength(min = 1, max = 4) String otherKey) {
     if (!first.equals(second)) {
-      assertNotEquals(UpstreamKeys.of(first, key), UpstreamKeys.of(second, otherKey));
+      assertNotEquals(UpstreamIdempotencyKeys.of(first, key), UpstreamIdempotencyKeys.of(second, otherKey));
     }
   }
 
   @Test
   void keyWithoutConfiguredCallersIsPassedOnAsItCame() {
-    assertEquals("visit-12", UpstreamKeys.of("anonymous", "visit-12"));
+    assertEquals("visit-12", UpstreamIdempotencyKeys.of("anonymous", "visit-12"));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/DispatchFixture.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/DispatchFixture.java
@@ -179,7 +179,7 @@
   }
 
   @Override
-  public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+  public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
     violations += holds ? 0 : 1;
   }
 
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/TrueRefusalTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/RefusalRunStateTest.java
@@ -18,7 +18,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-class TrueRefusalTest {
+class RefusalRunStateTest {
   private static final int STEPS = 200;
 
   /** A request as the test follows it. */
@@ -46,7 +46,7 @@
         requests.add(request);
         Followed other = requests.get(random.nextInt(requests.size()));
         advance(dispatcher, other, random);
-        requests.forEach(TrueRefusalTest::check);
+        requests.forEach(RefusalRunStateTest::check);
       }
       assertEquals(0, fixture.violations());
     }
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/RoutingDispatcherTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/RoutingDispatcherTest.java
@@ -141,7 +141,7 @@
       for (int number = 0; number < 40; number++) {
         running.add(dispatcher.acquire(request("r" + number, "quotes")).join());
       }
-      running.forEach(Dispatch::firstAnswerPart);
+      running.forEach(Dispatch::responseStarted);
       for (Dispatch dispatch : running) {
         CompletableFuture<Dispatch> resumed =
             dispatcher.reacquire(dispatch, DispatchOutcome.FAILED);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -23,7 +23,7 @@
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.daemon.forward.wire.RunnerOrder;
 import org.agatefield.daemon.forward.wire.SendTerms;
-import org.agatefield.forwarding.HeldModel;
+import org.agatefield.forwarding.LoadedModel;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerReport;
 import org.agatefield.lease.LeaseGrant;
@@ -123,8 +123,8 @@
   }
 
   private static RunnerReport report(long acceptedOrders, boolean busy, String... models) {
-    List<HeldModel> held =
-        java.util.Arrays.stream(models).map(name -> new HeldModel(name, Set.of())).toList();
+    List<LoadedModel> held =
+        java.util.Arrays.stream(models).map(name -> new LoadedModel(name, Set.of())).toList();
     return new RunnerReport(1, held, Set.of(), busy, acceptedOrders, Set.of(), Set.of());
   }
 
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -130,7 +130,7 @@
     messages.clear();
     run(CONVERGENCE_MILLISECONDS);
     return members.values().stream()
-        .filter(member -> !member.relays().speaks())
+        .filter(member -> !member.relays().representsDomain())
         .mapToInt(member -> messages.get(member.self().id()))
         .max()
         .orElseThrow();
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -12,7 +12,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.agatefield.daemon.forward.wire.StoredObjectDialect;
-import org.agatefield.forwarding.FewestRunningChoice;
+import org.agatefield.forwarding.FewestRunningChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerLoads;
@@ -118,7 +118,7 @@
             new RunnerLoads(),
             new ModelPresence(),
             new RunnerAvailability(notice -> {}),
-            new FewestRunningChoice());
+            new FewestRunningChooser());
     directory.changed(entry("a", "ready"));
     RunnerEntry chosen = directory.entry("a").orElseThrow();
     assertTrue(selector.isUsable(chosen));
--- a/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
@@ -24,13 +24,13 @@
 import org.agatefield.daemon.core.ConfigurationSource;
 import org.agatefield.daemon.core.DispatchOutcome;
 import org.agatefield.daemon.core.Dispatcher;
-import org.agatefield.daemon.core.EntryAnswer;
+import org.agatefield.daemon.core.EntryAddresses;
 import org.agatefield.daemon.core.EntryDirectory;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.NonRepeatableCalls;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.NonRepeatableCallExecutor;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.engine.EngineClientOptions;
 import org.agatefield.engine.HttpEngineClient;
@@ -107,7 +107,7 @@
     FixedDirectory directory = new FixedDirectory();
     CallerApi api =
         new CallerApi(
-            new CallerApiParts(
+            new CallerApiDependencies(
                 vertx,
                 new FixedConfiguration(),
                 dispatcher,
@@ -197,7 +197,7 @@
   /** Counts violations. */
   private final class CountingMonitor implements InvariantMonitor {
     @Override
-    public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+    public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
       if (!holds) {
         violations.incrementAndGet();
       }
@@ -210,9 +210,9 @@
   }
 
   /** Sends every call once, without claims. */
-  private static final class UnguardedCalls implements NonRepeatableCalls {
+  private static final class UnguardedCalls implements NonRepeatableCallExecutor {
     @Override
-    public CompletableFuture<ServiceExchange> execute(
+    public CompletableFuture<ServiceResponse> execute(
         NonRepeatableCall call,
         ServiceRequest request,
         Dispatcher chooser,
@@ -269,8 +269,8 @@
   /** Knows this instance only. */
   private final class FixedDirectory implements EntryDirectory, InstanceDirectory {
     @Override
-    public EntryAnswer entriesFor(Optional<String> model, Optional<String> region) {
-      return new EntryAnswer(List.of(address), Duration.ofSeconds(5));
+    public EntryAddresses entriesFor(Optional<String> model, Optional<String> region) {
+      return new EntryAddresses(List.of(address), Duration.ofSeconds(5));
     }
 
     @Override
--- a/daemon/src/test/java/org/agatefield/daemon/http/RecordingDispatcher.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/RecordingDispatcher.java
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public void firstAnswerPart() {
+    public void responseStarted() {
       // Nothing is measured here.
     }
 
--- a/fleet/src/test/java/org/agatefield/fleet/HookedDaemonMain.java
+++ b/fleet/src/test/java/org/agatefield/fleet/HookedDaemonMain.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.locks.LockSupport;
 import org.agatefield.daemon.AgatefieldMain;
-import org.agatefield.daemon.core.Step;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.FailPointHook;
 
 /**
  * A daemon that ends or waits the first time it reaches a named step.
  *
- * <p>System properties say where and how: {@code test.step} is a name of {@link Step}; {@code
+ * <p>System properties say where and how: {@code test.step} is a name of {@link FailPoint}; {@code
  * test.subject} is part of the step's subject; {@code test.action} is {@code halt} or {@code wait};
  * {@code test.marker} is a file that is made when the step is reached. A waiting daemon goes on
  * once a file of that name with {@code .go} behind it exists.
@@ -27,10 +27,10 @@
   /** Runs the daemon. */
   public static void main(String[] arguments) {
     String step = System.getProperty("test.step", "");
-    AgatefieldMain.run(arguments, step.isEmpty() ? StepHook.NONE : hook(Step.valueOf(step)));
+    AgatefieldMain.run(arguments, step.isEmpty() ? FailPointHook.NONE : hook(FailPoint.valueOf(step)));
   }
 
-  private static StepHook hook(Step wanted) {
+  private static FailPointHook hook(FailPoint wanted) {
     String subject = System.getProperty("test.subject", "");
     boolean halt = System.getProperty("test.action", "wait").equals("halt");
     Path marker = Path.of(System.getProperty("test.marker"));
--- a/fleet/src/test/java/org/agatefield/fleet/LocalFleetTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/LocalFleetTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -19,7 +19,7 @@
 
   @Test
   void instanceThatEndsAfterItsClaimNeverLetsTheBookingRunTwice() {
-    StepFault fault = StepFault.halt(Step.AFTER_CLAIM, "", directory.resolve("claimed"));
+    StepFault fault = StepFault.halt(FailPoint.AFTER_CLAIM, "", directory.resolve("claimed"));
     try (LocalFleet fleet = new LocalFleet(FleetPlans.quickstart(), directory)) {
       fleet.withDaemonMain(HookedDaemonMain.class.getName());
       fleet.withDaemonOptions("entry-1", fault.options());
--- a/fleet/src/test/java/org/agatefield/fleet/StepFault.java
+++ b/fleet/src/test/java/org/agatefield/fleet/StepFault.java
@@ -5,18 +5,18 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 
 /** A failure at a named step of a daemon that runs {@link HookedDaemonMain}. For one thread. */
 public final class StepFault {
   private static final Duration REACH_LIMIT = Duration.ofSeconds(60);
 
-  private final Step step;
+  private final FailPoint step;
   private final String subject;
   private final String action;
   private final Path marker;
 
-  private StepFault(Step step, String subject, String action, Path marker) {
+  private StepFault(FailPoint step, String subject, String action, Path marker) {
     this.step = step;
     this.subject = subject;
     this.action = action;
@@ -24,12 +24,12 @@
   }
 
   /** The daemon ends at the step, as if killed. */
-  public static StepFault halt(Step step, String subject, Path marker) {
+  public static StepFault halt(FailPoint step, String subject, Path marker) {
     return new StepFault(step, subject, "halt", marker);
   }
 
   /** The daemon waits at the step, as if paused, until {@link #goOn()}. */
-  public static StepFault hold(Step step, String subject, Path marker) {
+  public static StepFault hold(FailPoint step, String subject, Path marker) {
     return new StepFault(step, subject, "wait", marker);
   }
 
--- a/fleet/src/test/java/org/agatefield/fleet/calls/AtMostOnceProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/AtMostOnceProcessTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.fleet.FleetHttp;
 import org.agatefield.fleet.LocalFleet;
 import org.agatefield.fleet.StepFault;
@@ -53,7 +53,7 @@
 
   @Test
   void killedBeforeTheClaimRunsOnRetry() {
-    StepFault fault = bookings.restartWith("entry-1", Step.BEFORE_CLAIM, "k-before", true);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_CLAIM, "k-before", true);
     bookings.send("entry-1", "k-before", BODY, Map.of());
     fault.awaitReached();
     bookings.bookUntilDone("entry-2", "k-before");
@@ -63,7 +63,7 @@
 
   @Test
   void killedAfterTheClaimIsNeverRun() {
-    StepFault fault = bookings.restartWith("entry-1", Step.AFTER_CLAIM, "k-claimed", true);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.AFTER_CLAIM, "k-claimed", true);
     bookings.send("entry-1", "k-claimed", BODY, Map.of());
     fault.awaitReached();
     FleetHttp.Answer answer = bookings.bookUntil("entry-2", "k-claimed", 504);
@@ -89,7 +89,7 @@
 
   @Test
   void killedBeforeTheOutcomeIsWrittenIsAnsweredByAskingTheService() {
-    StepFault fault = bookings.restartWith("entry-1", Step.BEFORE_OUTCOME, "k-outcome", true);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_OUTCOME, "k-outcome", true);
     bookings.send("entry-1", "k-outcome", BODY, Map.of());
     fault.awaitReached();
     bookings.bookUntilDone("entry-2", "k-outcome");
@@ -113,7 +113,7 @@
 
   @Test
   void deathBeforeTheOutcomeWhileTheStoreIsDownRunsOnce() {
-    StepFault fault = bookings.restartWith("entry-1", Step.BEFORE_OUTCOME, "k-both", false);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_OUTCOME, "k-both", false);
     bookings.send("entry-1", "k-both", BODY, Map.of());
     fault.awaitReached();
     bookings.storeFaults("{\"down\":true}");
@@ -147,7 +147,7 @@
 
   @Test
   void pausedBetweenClaimAndSendThenWokenRunsOnce() {
-    StepFault fault = bookings.restartWith("entry-1", Step.AFTER_CLAIM, "k-paused", false);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.AFTER_CLAIM, "k-paused", false);
     Map<String, String> longDeadline = Map.of("X-Request-Deadline-Ms", "60000");
     bookings.send("entry-1", "k-paused", BODY, longDeadline);
     fault.awaitReached();
@@ -161,7 +161,7 @@
 
   @Test
   void pausedPastItsDeadlineSendsNothingAndRetryRuns() {
-    StepFault fault = bookings.restartWith("entry-1", Step.AFTER_CLAIM, "k-expired", false);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.AFTER_CLAIM, "k-expired", false);
     bookings.send("entry-1", "k-expired", BODY, Map.of("X-Request-Deadline-Ms", "300"));
     fault.awaitReached();
     bookings.fleet.process("entry-1").pause();
@@ -187,7 +187,7 @@
 
   @Test
   void storeDownBeforeTheClaimIsRefusedAsNotRun() {
-    StepFault fault = bookings.restartWith("entry-1", Step.BEFORE_CLAIM, "k-down-claim", false);
+    StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_CLAIM, "k-down-claim", false);
     final CompletableFuture<FleetHttp.Answer> caller =
         bookings.send("entry-1", "k-down-claim", BODY, Map.of());
     fault.awaitReached();
@@ -203,15 +203,15 @@
 
   @Test
   void storeDownAfterTheClaimRunsAndIsRecordedLater() {
-    downAt(Step.AFTER_CLAIM, "k-down-send");
+    downAt(FailPoint.AFTER_CLAIM, "k-down-send");
   }
 
   @Test
   void storeDownBeforeTheOutcomeIsRecordedLater() {
-    downAt(Step.BEFORE_OUTCOME, "k-down-outcome");
+    downAt(FailPoint.BEFORE_OUTCOME, "k-down-outcome");
   }
 
-  private static void downAt(Step step, String key) {
+  private static void downAt(FailPoint step, String key) {
     StepFault fault = bookings.restartWith("entry-1", step, key, false);
     final CompletableFuture<FleetHttp.Answer> caller =
         bookings.send("entry-1", key, BODY, Map.of());
--- a/fleet/src/test/java/org/agatefield/fleet/calls/BookingFleet.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/BookingFleet.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.fleet.FleetHttp;
 import org.agatefield.fleet.FleetPlan;
 import org.agatefield.fleet.HookedDaemonMain;
@@ -54,7 +54,7 @@
   }
 
   /** Starts a daemon anew with a fault at a step that concerns a key. */
-  StepFault restartWith(String daemon, Step step, String key, boolean halt) {
+  StepFault restartWith(String daemon, FailPoint step, String key, boolean halt) {
     Path marker = directory.resolve("marker-" + faults++);
     StepFault fault = halt ? StepFault.halt(step, key, marker) : StepFault.hold(step, key, marker);
     restart(daemon, fault.options());
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallCostTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallCostTest.java
@@ -15,10 +15,10 @@
 import org.agatefield.daemon.calls.CallLimits;
 import org.agatefield.daemon.calls.ClaimSweeper;
 import org.agatefield.daemon.calls.OutcomeQuery;
-import org.agatefield.daemon.calls.StoreBackedCalls;
-import org.agatefield.daemon.core.ServiceExchange;
-import org.agatefield.daemon.core.StepHook;
-import org.agatefield.daemon.leases.LeaseDuty;
+import org.agatefield.daemon.calls.StoreBackedCallExecutor;
+import org.agatefield.daemon.core.ServiceResponse;
+import org.agatefield.daemon.core.FailPointHook;
+import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 import org.agatefield.model.PlainService;
@@ -38,15 +38,15 @@
     assertEquals(List.of(), bench.violations);
   }
 
-  private StoreBackedCalls instance(String id) {
-    return bench.newInstance(id, StepHook.NONE, OutcomeQuery.NONE);
+  private StoreBackedCallExecutor instance(String id) {
+    return bench.newInstance(id, FailPointHook.NONE, OutcomeQuery.NONE);
   }
 
-  private CompletableFuture<ServiceExchange> book(StoreBackedCalls instance, String key) {
+  private CompletableFuture<ServiceResponse> book(StoreBackedCallExecutor instance, String key) {
     return bench.call(instance, key, "body", LONG, bench.sender(key, this::answerAtOnce));
   }
 
-  private CompletableFuture<ServiceExchange> answerAtOnce(int execution) {
+  private CompletableFuture<ServiceResponse> answerAtOnce(int execution) {
     return CompletableFuture.completedFuture(exchange("execution " + execution));
   }
 
@@ -64,7 +64,7 @@
 
   @Test
   void bookingTakesTwoWritesAndOneRead() {
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     for (int index = 0; index < 100; index++) {
       book(first, "key-" + index).join();
     }
@@ -78,7 +78,7 @@
   @Test
   void claimIsSweptAfterItsRetentionByTheHolderOfTheLease() {
     CallLimits limits = CallsBench.shortLimits(Duration.ofMillis(1));
-    StoreBackedCalls first = bench.newInstance("a", StepHook.NONE, OutcomeQuery.NONE, limits);
+    StoreBackedCallExecutor first = bench.newInstance("a", FailPointHook.NONE, OutcomeQuery.NONE, limits);
     PlainService quick = new PlainService("booking", List.of(), Optional.empty(), 1);
     for (int index = 0; index < 30; index++) {
       String key = "key-" + index;
@@ -95,9 +95,9 @@
     }
     await().atMost(GENEROUS).until(() -> first.runningCalls() == 0);
     for (String holder : List.of("x", "y")) {
-      LeaseDuty lease =
+      LeaseManager lease =
           bench.closer.register(
-              new LeaseDuty(
+              new LeaseManager(
                   bench.vertx, bench.newStore(), "sweeper", holder, Duration.ofSeconds(2)));
       bench.closer.register(
           new ClaimSweeper(
@@ -115,7 +115,7 @@
 
   @Test
   void retriesOfFinishedCallDoNotReadTheStoreEachTime() {
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     for (int retry = 0; retry < 100; retry++) {
       assertEquals(exchange("execution 1"), book(first, "key").join());
     }
@@ -128,7 +128,7 @@
 
   @Test
   void keptAnswerIsNotGivenToAnotherBody() {
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     book(first, "key").join();
     AgatefieldException failure =
         failureOf(bench.call(first, "key", "other", LONG, bench.sender("key", this::answerAtOnce)));
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
@@ -18,7 +18,7 @@
 import java.util.function.Function;
 import org.agatefield.daemon.calls.CallLimits;
 import org.agatefield.daemon.calls.OutcomeQuery;
-import org.agatefield.daemon.calls.StoreBackedCalls;
+import org.agatefield.daemon.calls.StoreBackedCallExecutor;
 import org.agatefield.daemon.core.Dispatch;
 import org.agatefield.daemon.core.DispatchOutcome;
 import org.agatefield.daemon.core.Dispatcher;
@@ -26,9 +26,9 @@
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.ModelRequest;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceExchange;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.Closer;
@@ -106,14 +106,14 @@
         Duration.ofMinutes(1));
   }
 
-  StoreBackedCalls newInstance(String id, StepHook hook, OutcomeQuery outcomes) {
+  StoreBackedCallExecutor newInstance(String id, FailPointHook hook, OutcomeQuery outcomes) {
     return newInstance(id, hook, outcomes, shortLimits(Duration.ofHours(1)));
   }
 
-  StoreBackedCalls newInstance(String id, StepHook hook, OutcomeQuery outcomes, CallLimits limits) {
+  StoreBackedCallExecutor newInstance(String id, FailPointHook hook, OutcomeQuery outcomes, CallLimits limits) {
     aliveInstances.add(id);
     return closer.register(
-        new StoreBackedCalls(
+        new StoreBackedCallExecutor(
             vertx,
             newStore(),
             new Directory(id),
@@ -126,19 +126,19 @@
 
   /** Returns a sender that executes the call and answers when {@code answer} says so. */
   NonRepeatableCall.Sender sender(
-      String key, Function<Integer, CompletableFuture<ServiceExchange>> answer) {
+      String key, Function<Integer, CompletableFuture<ServiceResponse>> answer) {
     return upstream -> answer.apply(executions.merge(key, 1, Integer::sum));
   }
 
-  static ServiceExchange exchange(String body) {
-    return new ServiceExchange(
+  static ServiceResponse exchange(String body) {
+    return new ServiceResponse(
         201,
-        List.of(new ServiceExchange.Header("Content-Type", "application/json")),
+        List.of(new ServiceResponse.Header("Content-Type", "application/json")),
         Buffer.buffer(body));
   }
 
-  CompletableFuture<ServiceExchange> call(
-      StoreBackedCalls instance,
+  CompletableFuture<ServiceResponse> call(
+      StoreBackedCallExecutor instance,
       String key,
       String body,
       Duration remaining,
@@ -147,8 +147,8 @@
     return call(instance, service, key, body, remaining, new FreeDispatcher(), sender);
   }
 
-  CompletableFuture<ServiceExchange> call(
-      StoreBackedCalls instance,
+  CompletableFuture<ServiceResponse> call(
+      StoreBackedCallExecutor instance,
       PlainService service,
       String key,
       String body,
@@ -208,7 +208,7 @@
   private final class Monitor implements InvariantMonitor {
     @Override
     public void check(
-        Promise promise, boolean holds, java.util.function.Supplier<String> evidence) {
+        Invariant promise, boolean holds, java.util.function.Supplier<String> evidence) {
       if (!holds) {
         violations.add(promise + ": " + evidence.get());
       }
@@ -279,7 +279,7 @@
     }
 
     @Override
-    public void firstAnswerPart() {}
+    public void responseStarted() {}
 
     @Override
     public void finished(DispatchOutcome outcome) {}
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsUnderFaultsTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsUnderFaultsTest.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import org.agatefield.daemon.calls.OutcomeQuery;
-import org.agatefield.daemon.calls.StoreBackedCalls;
-import org.agatefield.daemon.core.ServiceExchange;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.calls.StoreBackedCallExecutor;
+import org.agatefield.daemon.core.ServiceResponse;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 import org.agatefield.model.PlainService;
@@ -55,8 +55,8 @@
           "{\"down\":true}");
 
   private final CallsBench bench = new CallsBench(STORE_TIMEOUT);
-  private final List<StoreBackedCalls> instances = new ArrayList<>();
-  private final Map<String, Set<ServiceExchange>> answers = new ConcurrentHashMap<>();
+  private final List<StoreBackedCallExecutor> instances = new ArrayList<>();
+  private final Map<String, Set<ServiceResponse>> answers = new ConcurrentHashMap<>();
   private final List<String> falseRefusals = new CopyOnWriteArrayList<>();
 
   @AfterEach
@@ -67,7 +67,7 @@
   @Test
   void retriesUnderFaultsRunEachCallAtMostOnce() throws Exception {
     for (int index = 0; index < 4; index++) {
-      instances.add(bench.newInstance("instance-" + index, StepHook.NONE, OutcomeQuery.NONE));
+      instances.add(bench.newInstance("instance-" + index, FailPointHook.NONE, OutcomeQuery.NONE));
     }
     ExecutorService partners = Executors.newFixedThreadPool(PARTNERS);
     List<Future<?>> running = new ArrayList<>();
@@ -119,19 +119,19 @@
   /** Sends a call to some instances at once; returns whether one gave a final outcome. */
   private boolean bookAtOnce(String key, int copies, UniformRandomProvider random) {
     boolean executedBefore = bench.executions.containsKey(key);
-    List<CompletableFuture<ServiceExchange>> calls = new ArrayList<>();
+    List<CompletableFuture<ServiceResponse>> calls = new ArrayList<>();
     for (int copy = 0; copy < copies; copy++) {
       calls.add(send(key, random));
     }
     boolean over = false;
-    for (CompletableFuture<ServiceExchange> call : calls) {
+    for (CompletableFuture<ServiceResponse> call : calls) {
       over |= isFinal(key, call, executedBefore);
     }
     return over;
   }
 
-  private CompletableFuture<ServiceExchange> send(String key, UniformRandomProvider random) {
-    StoreBackedCalls instance = instances.get(random.nextInt(instances.size()));
+  private CompletableFuture<ServiceResponse> send(String key, UniformRandomProvider random) {
+    StoreBackedCallExecutor instance = instances.get(random.nextInt(instances.size()));
     int fate = random.nextInt(10);
     return bench.call(
         instance,
@@ -143,13 +143,13 @@
         upstream -> execute(key, fate));
   }
 
-  private CompletableFuture<ServiceExchange> execute(String key, int fate) {
+  private CompletableFuture<ServiceResponse> execute(String key, int fate) {
     if (fate == 0) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(ErrorKind.NO_UPSTREAM, "connection refused"));
     }
     int execution = bench.executions.merge(key, 1, Integer::sum);
-    ServiceExchange answer = exchange(key + " execution " + execution);
+    ServiceResponse answer = exchange(key + " execution " + execution);
     if (fate == 1) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(ErrorKind.UPSTREAM_FAILED, "connection reset"));
@@ -160,9 +160,9 @@
   }
 
   private boolean isFinal(
-      String key, CompletableFuture<ServiceExchange> call, boolean executedBefore) {
+      String key, CompletableFuture<ServiceResponse> call, boolean executedBefore) {
     try {
-      ServiceExchange answer = call.join();
+      ServiceResponse answer = call.join();
       answers.computeIfAbsent(key, created -> ConcurrentHashMap.newKeySet()).add(answer);
       return true;
     } catch (CompletionException exception) {
--- a/fleet/src/test/java/org/agatefield/fleet/calls/StoreBackedCallsTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/StoreBackedCallExecutorTest.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import org.agatefield.daemon.calls.OutcomeQuery;
-import org.agatefield.daemon.calls.StoreBackedCalls;
-import org.agatefield.daemon.core.ServiceExchange;
-import org.agatefield.daemon.core.Step;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.calls.StoreBackedCallExecutor;
+import org.agatefield.daemon.core.ServiceResponse;
+import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 import org.agatefield.model.PlainService;
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL over the HTTP stand-in store. */
-class StoreBackedCallsTest {
+class StoreBackedCallExecutorTest {
   private static final Duration LONG = Duration.ofSeconds(60);
   private static final Duration GENEROUS = Duration.ofSeconds(60);
 
@@ -40,15 +40,15 @@
     assertEquals(List.of(), bench.violations);
   }
 
-  private StoreBackedCalls instance(String id) {
-    return bench.newInstance(id, StepHook.NONE, OutcomeQuery.NONE);
+  private StoreBackedCallExecutor instance(String id) {
+    return bench.newInstance(id, FailPointHook.NONE, OutcomeQuery.NONE);
   }
 
-  private CompletableFuture<ServiceExchange> book(StoreBackedCalls instance, String key) {
+  private CompletableFuture<ServiceResponse> book(StoreBackedCallExecutor instance, String key) {
     return bench.call(instance, key, "body", LONG, bench.sender(key, this::answerAtOnce));
   }
 
-  private CompletableFuture<ServiceExchange> answerAtOnce(int execution) {
+  private CompletableFuture<ServiceResponse> answerAtOnce(int execution) {
     return CompletableFuture.completedFuture(exchange("execution " + execution));
   }
 
@@ -58,8 +58,8 @@
 
   @Test
   void retryAtAnotherInstanceGetsTheSameAnswer() {
-    ServiceExchange first = book(instance("a"), "key").join();
-    ServiceExchange second = book(instance("b"), "key").join();
+    ServiceResponse first = book(instance("a"), "key").join();
+    ServiceResponse second = book(instance("b"), "key").join();
     assertEquals(exchange("execution 1"), first);
     assertEquals(first, second);
     assertEquals(Map.of("key", 1), bench.executions);
@@ -67,14 +67,14 @@
 
   @Test
   void retriesToAllInstancesAtOnceRunOnce() {
-    List<CompletableFuture<ServiceExchange>> answers = new ArrayList<>();
+    List<CompletableFuture<ServiceResponse>> answers = new ArrayList<>();
     for (int index = 0; index < 8; index++) {
-      StoreBackedCalls instance = instance("instance-" + index);
+      StoreBackedCallExecutor instance = instance("instance-" + index);
       for (int retry = 0; retry < 5; retry++) {
         answers.add(book(instance, "key"));
       }
     }
-    for (CompletableFuture<ServiceExchange> answer : answers) {
+    for (CompletableFuture<ServiceResponse> answer : answers) {
       assertEquals(exchange("execution 1"), answer.join());
     }
     assertEquals(Map.of("key", 1), bench.executions);
@@ -94,7 +94,7 @@
   @Test
   void answerOfSeveralMegabytesIsKeptWhole() {
     String large = "x".repeat(3_000_000) + "end";
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     bench
         .call(
             first,
@@ -103,7 +103,7 @@
             LONG,
             bench.sender("key", count -> CompletableFuture.completedFuture(exchange(large))))
         .join();
-    ServiceExchange again = book(instance("b"), "key").join();
+    ServiceResponse again = book(instance("b"), "key").join();
     assertTrue(Buffer.buffer(large).equals(again.body()));
     assertEquals(Map.of("key", 1), bench.executions);
   }
@@ -119,7 +119,7 @@
   @Test
   void lostAnswerToTheOutcomeIsReadBack() {
     bench.storeFaults("{\"loseAnswersAfterEffect\":1,\"kind\":\"claims\",\"verb\":\"update\"}");
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     assertEquals(exchange("execution 1"), book(first, "key").join());
     await().atMost(GENEROUS).until(() -> first.runningCalls() == 0);
     assertEquals(exchange("execution 1"), book(instance("b"), "key").join());
@@ -130,7 +130,7 @@
     bench.storeFaults(
         "{\"delayEffectMilliseconds\":6000,\"delayEffectCount\":1,"
             + "\"kind\":\"claims\",\"verb\":\"create\"}");
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     AgatefieldException failure = failureOf(book(first, "key"));
     assertEquals(ErrorKind.STORE_UNAVAILABLE, failure.kind());
     assertEquals(RunState.NO, failure.runState());
@@ -142,7 +142,7 @@
   @Test
   void storeDownBeforeTheClaimIsRefusedWithTimeToComeBack() {
     bench.storeFaults("{\"down\":true}");
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     AgatefieldException failure = failureOf(book(first, "key"));
     assertEquals(ErrorKind.STORE_UNAVAILABLE, failure.kind());
     assertEquals(RunState.UNKNOWN, failure.runState());
@@ -154,9 +154,9 @@
 
   @Test
   void outcomeIsServedAndKeptWhileTheStoreIsDown() {
-    StoreBackedCalls first = instance("a");
-    CompletableFuture<ServiceExchange> answer = new CompletableFuture<>();
-    final CompletableFuture<ServiceExchange> caller =
+    StoreBackedCallExecutor first = instance("a");
+    CompletableFuture<ServiceResponse> answer = new CompletableFuture<>();
+    final CompletableFuture<ServiceResponse> caller =
         bench.call(first, "key", "body", LONG, bench.sender("key", count -> answer));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     bench.storeFaults("{\"down\":true}");
@@ -172,9 +172,9 @@
 
   @Test
   void answerThatComesAfterTheCallerHasGoneIsKept() {
-    StoreBackedCalls first = instance("a");
-    CompletableFuture<ServiceExchange> answer = new CompletableFuture<>();
-    CompletableFuture<ServiceExchange> caller =
+    StoreBackedCallExecutor first = instance("a");
+    CompletableFuture<ServiceResponse> answer = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> caller =
         bench.call(
             first, "key", "body", Duration.ofSeconds(1), bench.sender("key", count -> answer));
     AgatefieldException failure = failureOf(caller);
@@ -186,7 +186,7 @@
 
   @Test
   void callOfDeadInstanceIsNeverRunAgain() {
-    StoreBackedCalls first = instance("dead");
+    StoreBackedCallExecutor first = instance("dead");
     bench.call(first, "key", "body", LONG, bench.sender("key", count -> new CompletableFuture<>()));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     bench.aliveInstances.remove("dead");
@@ -197,15 +197,15 @@
 
   @Test
   void serviceIsAskedForTheOutcomeOfDeadInstance() {
-    StoreBackedCalls first = instance("dead");
+    StoreBackedCallExecutor first = instance("dead");
     bench.call(first, "key", "body", LONG, bench.sender("key", count -> new CompletableFuture<>()));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     bench.aliveInstances.remove("dead");
     OutcomeQuery query = call -> CompletableFuture.completedFuture(Optional.of(exchange("asked")));
-    StoreBackedCalls asking = bench.newInstance("b", StepHook.NONE, query);
+    StoreBackedCallExecutor asking = bench.newInstance("b", FailPointHook.NONE, query);
     PlainService service =
         new PlainService("booking", List.of(), Optional.of("/outcomes/{key}"), 2_000);
-    ServiceExchange learnt =
+    ServiceResponse learnt =
         bench
             .call(
                 asking,
@@ -217,7 +217,7 @@
                 bench.sender("key", this::answerAtOnce))
             .join();
     assertEquals(exchange("asked"), learnt);
-    StoreBackedCalls third = instance("c");
+    StoreBackedCallExecutor third = instance("c");
     await()
         .atMost(GENEROUS)
         .untilAsserted(() -> assertEquals(exchange("asked"), book(third, "key").join()));
@@ -226,10 +226,10 @@
 
   @Test
   void callThatRunsElsewhereIsInProgressAfterTheJoinLimit() {
-    CompletableFuture<ServiceExchange> answer = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> answer = new CompletableFuture<>();
     bench.call(instance("a"), "key", "body", LONG, bench.sender("key", count -> answer));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
-    StoreBackedCalls second = instance("b");
+    StoreBackedCallExecutor second = instance("b");
     AgatefieldException failure = failureOf(book(second, "key"));
     assertEquals(ErrorKind.KEY_IN_PROGRESS, failure.kind());
     answer.complete(exchange("done"));
@@ -241,7 +241,7 @@
 
   @Test
   void refusedConnectionReleasesTheClaimAndRetryRuns() {
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     AgatefieldException refused =
         new AgatefieldException(ErrorKind.NO_UPSTREAM, "connection refused");
     AgatefieldException failure =
@@ -257,7 +257,7 @@
     AgatefieldException refused =
         new AgatefieldException(ErrorKind.NO_UPSTREAM, "connection refused");
     List<String> tries = new ArrayList<>();
-    ServiceExchange answer =
+    ServiceResponse answer =
         bench
             .call(
                 instance("a"),
@@ -280,7 +280,7 @@
   @Test
   void brokenConnectionAfterSendingIsNeverRunAgain() {
     AgatefieldException reset = new AgatefieldException(ErrorKind.UPSTREAM_FAILED, "reset");
-    StoreBackedCalls first = instance("a");
+    StoreBackedCallExecutor first = instance("a");
     AgatefieldException failure =
         failureOf(
             bench.call(
@@ -301,14 +301,14 @@
   void pauseBetweenClaimAndSendPastTheDeadlineSendsNothing() {
     CompletableFuture<Void> paused = new CompletableFuture<>();
     CompletableFuture<Void> wake = new CompletableFuture<>();
-    StepHook hook =
+    FailPointHook hook =
         (step, subject) -> {
-          if (step == Step.AFTER_CLAIM && paused.complete(null)) {
+          if (step == FailPoint.AFTER_CLAIM && paused.complete(null)) {
             wake.join();
           }
         };
-    StoreBackedCalls sleeper = bench.newInstance("sleeper", hook, OutcomeQuery.NONE);
-    CompletableFuture<ServiceExchange> caller =
+    StoreBackedCallExecutor sleeper = bench.newInstance("sleeper", hook, OutcomeQuery.NONE);
+    CompletableFuture<ServiceResponse> caller =
         bench.call(
             sleeper,
             "key",
--- a/fleet/src/test/java/org/agatefield/fleet/placing/ConfigurationFailureTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/ConfigurationFailureTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.configuration.ConfigurationWriter;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.fleet.FleetHttp;
 import org.agatefield.fleet.FleetPlan;
 import org.agatefield.fleet.HookedDaemonMain;
@@ -29,7 +29,7 @@
 
   @Test
   void oneOfTwoRacingOperatorsIsAcceptedAndTheOtherIsShownTheDifference() {
-    try (LocalFleet fleet = startedFleet(StepFault.halt(Step.BEFORE_CLAIM, "", marker()))) {
+    try (LocalFleet fleet = startedFleet(StepFault.halt(FailPoint.BEFORE_CLAIM, "", marker()))) {
       FleetStatus status = new FleetStatus(fleet);
       CompletableFuture<FleetHttp.Answer> first = send(fleet, "entry-1", document(fleet, 0, 2));
       CompletableFuture<FleetHttp.Answer> second = send(fleet, "entry-2", document(fleet, 0, 3));
@@ -50,7 +50,7 @@
 
   @Test
   void documentsWhoseAcceptanceIsNotAnsweredAreRecognisedByReadingBack() {
-    try (LocalFleet fleet = startedFleet(StepFault.halt(Step.BEFORE_CLAIM, "", marker()))) {
+    try (LocalFleet fleet = startedFleet(StepFault.halt(FailPoint.BEFORE_CLAIM, "", marker()))) {
       FleetStatus status = new FleetStatus(fleet);
       status.faults("store", "{\"loseAnswersAfterEffect\":1,\"kind\":\"configurations\"}");
       assertEquals(200, fleet.apply("entry-1", document(fleet, 0, 2)).status());
@@ -62,7 +62,7 @@
 
   @Test
   void acceptedDocumentsReachPausedAndNewDaemonsWhileTheStoreIsDown() {
-    StepFault fault = StepFault.hold(Step.AFTER_CONFIGURATION_ACCEPTED, "2", marker());
+    StepFault fault = StepFault.hold(FailPoint.AFTER_CONFIGURATION_ACCEPTED, "2", marker());
     try (LocalFleet fleet = startedFleet(fault)) {
       FleetStatus status = new FleetStatus(fleet);
       assertEquals(200, fleet.apply("entry-1", document(fleet, 0, 2)).status());
@@ -85,7 +85,7 @@
 
   @Test
   void documentsThatCannotFitAreRefusedWithTheArithmetic() {
-    try (LocalFleet fleet = startedFleet(StepFault.halt(Step.BEFORE_CLAIM, "", marker()))) {
+    try (LocalFleet fleet = startedFleet(StepFault.halt(FailPoint.BEFORE_CLAIM, "", marker()))) {
       ConfigurationDocument fits = document(fleet, 0, 2);
       FleetHttp.Answer answer = fleet.apply("entry-1", TestDocuments.withMemory(fits, 50_000));
       assertEquals(422, answer.status());
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementBench.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Supplier;
-import org.agatefield.daemon.configuration.ConfigurationKeeper;
+import org.agatefield.daemon.configuration.ConfigurationManager;
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.placing.LedgerDirectory;
-import org.agatefield.daemon.placing.PlacementDuty;
-import org.agatefield.daemon.placing.PlacementParts;
-import org.agatefield.daemon.placing.PlacementTerms;
+import org.agatefield.daemon.placing.PlacementController;
+import org.agatefield.daemon.placing.PlacementContext;
+import org.agatefield.daemon.placing.PlacementTimings;
 import org.agatefield.engine.EngineClientOptions;
 import org.agatefield.engine.HttpEngineClient;
 import org.agatefield.lease.LeaseGrant;
@@ -41,8 +41,8 @@
 
 /** A store, engines and planners in one process, for tests. Used from the test's thread. */
 final class PlacementBench implements AutoCloseable {
-  private static final PlacementTerms TERMS =
-      new PlacementTerms(
+  private static final PlacementTimings TERMS =
+      new PlacementTimings(
           Duration.ofMillis(50),
           Duration.ofSeconds(5),
           Duration.ofSeconds(1),
@@ -54,7 +54,7 @@
   final Vertx vertx = Vertx.vertx();
   final ObjectStore store;
   final HttpEngineClient engines;
-  final ConfigurationKeeper keeper;
+  final ConfigurationManager keeper;
   final LedgerDirectory directory;
   final List<String> violations = new ArrayList<>();
 
@@ -67,13 +67,13 @@
     engines = closer.register(new HttpEngineClient(vertx, EngineClientOptions.standard()));
     keeper =
         closer.register(
-            new ConfigurationKeeper(
+            new ConfigurationManager(
                     vertx,
                     store,
                     Duration.ofSeconds(1),
                     new MetricRegistry(),
                     new Monitor(),
-                    StepHook.NONE)
+                    FailPointHook.NONE)
                 .start());
     directory =
         closer.register(
@@ -101,9 +101,9 @@
   }
 
   /** Starts a planner that holds the lease whenever {@code token} gives one. */
-  PlacementDuty planner(Supplier<Optional<Long>> token, StepHook hook) {
-    PlacementParts parts =
-        new PlacementParts(
+  PlacementController planner(Supplier<Optional<Long>> token, FailPointHook hook) {
+    PlacementContext parts =
+        new PlacementContext(
             vertx,
             store,
             engines,
@@ -115,7 +115,7 @@
             new MetricRegistry(),
             hook);
     return closer.register(
-        new PlacementDuty(parts, TERMS, new GainPlacement(GainSettings.standard())).start());
+        new PlacementController(parts, TERMS, new GainPlacement(GainSettings.standard())).start());
   }
 
   @Override
@@ -126,7 +126,7 @@
   /** Remembers every violation. */
   private final class Monitor implements InvariantMonitor {
     @Override
-    public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+    public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
       if (!holds) {
         violations.add(promise + ": " + evidence.get());
       }
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementDutyTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementDutyTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.agatefield.daemon.core.StepHook;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.model.Deployment;
 import org.agatefield.model.DeploymentVersion;
@@ -27,7 +27,7 @@
       List<Upstream> engines =
           List.of(bench.engine("a", "one", 10_000, true), bench.engine("b", "two", 10_000, false));
       bench.keeper.apply(document(0, engines, List.of("v1"))).join();
-      bench.planner(() -> Optional.of(1L), StepHook.NONE);
+      bench.planner(() -> Optional.of(1L), FailPointHook.NONE);
       await().atMost(LIMIT).until(() -> replicas(bench).equals(Set.of("m@v1 a", "m@v1 b")));
       bench.keeper.apply(document(1, engines, List.of("v2"))).join();
       await().atMost(LIMIT).until(() -> replicas(bench).equals(Set.of("m@v2 a", "m@v2 b")));
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementFailureTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementFailureTest.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.agatefield.daemon.core.Step;
+import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.fleet.FleetPlan;
 import org.agatefield.fleet.HookedDaemonMain;
 import org.agatefield.fleet.LocalFleet;
@@ -33,7 +33,7 @@
   @ValueSource(booleans = {true, false})
   void plannerThatWakesAfterItsLeaseAndSendsItsOrderOvercommitsNothing(boolean checks) {
     FleetPlan plan = plan(List.of(new FleetPlan.Engine("engine-1", FIRST, 10_000, checks)));
-    StepFault fault = StepFault.hold(Step.BEFORE_ORDER, "engine-1", directory.resolve("order"));
+    StepFault fault = StepFault.hold(FailPoint.BEFORE_ORDER, "engine-1", directory.resolve("order"));
     try (LocalFleet fleet = fleet(plan)) {
       FleetStatus status = new FleetStatus(fleet);
       startWithPlanner(fleet, status, fault);
@@ -58,7 +58,7 @@
   void plannerThatEndsBetweenReservationAndOrderIsSucceeded() {
     FleetPlan plan = plan(List.of(new FleetPlan.Engine("engine-1", FIRST, 10_000, true)));
     StepFault fault =
-        StepFault.halt(Step.AFTER_RESERVATION, "engine-1", directory.resolve("reserved"));
+        StepFault.halt(FailPoint.AFTER_RESERVATION, "engine-1", directory.resolve("reserved"));
     try (LocalFleet fleet = fleet(plan)) {
       FleetStatus status = new FleetStatus(fleet);
       startWithPlanner(fleet, status, fault);
--- a/fleet/src/test/java/org/agatefield/fleet/platform/LeaseDutyTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/platform/LeaseManagerTest.java
@@ -7,25 +7,25 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import org.agatefield.daemon.leases.LeaseDuty;
+import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.lease.LeaseGrant;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class LeaseDutyTest {
+class LeaseManagerTest {
   private static final Duration GENEROUS = Duration.ofSeconds(60);
   private static final Duration DURATION = Duration.ofSeconds(2);
 
   private final StoreBench bench = new StoreBench();
-  private final List<LeaseDuty> contenders = new ArrayList<>();
+  private final List<LeaseManager> contenders = new ArrayList<>();
 
   @BeforeEach
   void contend() {
     for (String name : List.of("a", "b", "c")) {
       contenders.add(
           bench.closer.register(
-              new LeaseDuty(bench.vertx, bench.newClient(), "planner", name, DURATION)));
+              new LeaseManager(bench.vertx, bench.newClient(), "planner", name, DURATION)));
     }
     await().atMost(GENEROUS).until(() -> !holders().isEmpty());
   }
@@ -35,7 +35,7 @@
     bench.close();
   }
 
-  private List<LeaseDuty> holders() {
+  private List<LeaseManager> holders() {
     return contenders.stream().filter(each -> each.currentGrant().isPresent()).toList();
   }
 
@@ -54,7 +54,7 @@
 
   @Test
   void closedHolderIsFollowedByAnotherWithLargerToken() {
-    LeaseDuty first = holders().get(0);
+    LeaseManager first = holders().get(0);
     long token = token();
     first.close();
     assertTrue(first.currentGrant().isEmpty());
@@ -64,9 +64,9 @@
 
   @Test
   void distrustedGrantComesBackOnlyWithLargerToken() {
-    LeaseDuty first = holders().get(0);
+    LeaseManager first = holders().get(0);
     final long token = token();
-    first.distrust();
+    first.invalidateGrant();
     assertTrue(first.currentGrant().isEmpty());
     await().atMost(GENEROUS).until(() -> token() > token);
   }
--- a/measurement/src/main/java/org/agatefield/measure/EntryInstance.java
+++ b/measurement/src/main/java/org/agatefield/measure/EntryInstance.java
@@ -77,7 +77,7 @@
   }
 
   @Override
-  public void check(Promise promise, boolean holds, Supplier<String> evidence) {
+  public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
     violations += holds ? 0 : 1;
   }
 
--- a/measurement/src/main/java/org/agatefield/measure/Execution.java
+++ b/measurement/src/main/java/org/agatefield/measure/Execution.java
@@ -140,7 +140,7 @@
         () -> {
           if (!over && work == current) {
             answering = true;
-            dispatch.firstAnswerPart();
+            dispatch.responseStarted();
             owner.firstToken(this);
           }
         });
