--- a/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
@@ -64,7 +64,7 @@
   }
 
   /** Takes tokens back that were granted and not used; what exceeds the capacity is dropped. */
-  public void giveBack(double tokens, long nowMilliseconds) {
+  public void refund(double tokens, long nowMilliseconds) {
     fill(nowMilliseconds);
     level = Math.max(level, Math.min(rate.capacity(), level + tokens));
   }
--- a/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
+++ b/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
@@ -100,9 +100,9 @@
   void tokensThatAreGivenBackCanBeGrantedAgainWithinTheCapacity() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     assertTrue(bucket.tryTake(2_000, 2_000));
-    bucket.giveBack(2_000, 2_000);
+    bucket.refund(2_000, 2_000);
     assertTrue(bucket.tryTake(2_000, 2_000));
-    bucket.giveBack(100_000, 2_000);
+    bucket.refund(100_000, 2_000);
     assertEquals(RATE.capacity(), bucket.level(2_000), 0.001);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/Daemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/Daemon.java
@@ -16,6 +16,7 @@
 import org.agatefield.daemon.calls.StoreBackedCallExecutor;
 import org.agatefield.daemon.configuration.ConfigurationManager;
 import org.agatefield.daemon.core.DemandSource;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.dispatch.BoundedAdapterLoader;
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
@@ -11,6 +11,8 @@
 import java.util.function.Consumer;
 import org.agatefield.daemon.core.ConfigurationSink;
 import org.agatefield.daemon.core.ConfigurationSource;
+import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.daemon.core.FailPointHook;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
@@ -89,7 +89,7 @@
   @Override
   public void refund(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   /** Empties the bucket of an account, which refills its share from the given time on. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -143,7 +143,7 @@
   /** Returns every instance that is alive and not suspected, this one first. */
   @Override
   public List<Instance> answering() {
-    return members.answering();
+    return members.reachable();
   }
 
   /** Replaces the seed addresses at which instances are discovered. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -128,7 +128,7 @@
       relaySilentSince = Long.MAX_VALUE;
       loads.replaceNeighbours(report.instance(), shares, nowMilliseconds);
     } else {
-      loads.heard(report.instance(), shares, nowMilliseconds);
+      loads.updateNeighbour(report.instance(), shares, nowMilliseconds);
     }
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -120,7 +120,7 @@
   }
 
   void demandReported(String from, List<ModelDemand> demands) {
-    demand.reported(from, demands, MonotonicClock.milliseconds());
+    demand.record(from, demands, MonotonicClock.milliseconds());
   }
 
   /**
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -223,7 +223,7 @@
 
   private void refundToBucket(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   private Optional<ClientAccount> account(String name) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
@@ -272,7 +272,7 @@
         dispatch.responseStarted();
       }
       int before = answer.writtenTokens();
-      answer.part(part);
+      answer.accept(part);
       if (answer.writtenTokens() > before) {
         attemptsWithoutProgress = 0;
       }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
@@ -24,7 +24,7 @@
   private static final double MINIMUM_TOKENS = 500; // fewer say little about the rate
   private static final double FIRST_STEP_MILLISECONDS = 90; // the step after the last piece
   private static final double INITIAL_MILLISECONDS_PER_REQUEST = 80;
-  private static final int KEPT_PARTS_PER_RUNNER = 512;
+  private static final int CACHED_PARTS_PER_RUNNER = 512;
 
   private final Map<String, OwnLoad> own = new HashMap<>();
   private final Map<String, NeighbourLoad> neighbours = new HashMap<>();
@@ -40,7 +40,7 @@
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > KEPT_PARTS_PER_RUNNER;
+            return size() > CACHED_PARTS_PER_RUNNER;
           }
         };
   }
--- a/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
+++ b/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
@@ -15,6 +15,7 @@
 import org.agatefield.placement.LedgerEntry;
 import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.placement.LedgerState;
+import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.placement.LoadBudget;
 import org.agatefield.placement.MoveKind;
 import org.agatefield.placement.PlacementInput;
--- a/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
+++ b/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
@@ -395,7 +395,7 @@
   private static void recordUnload(
       SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.Work work) {
     if (work.order.action() == PlannedOrder.Action.UNLOAD) {
-      planner.ages.unloaded(engine.name, work.order.version(), work.entryToken, work.sentAt);
+      planner.ages.recordUnload(engine.name, work.order.version(), work.entryToken, work.sentAt);
     }
   }
 
