--- a/admission/src/main/java/org/agatefield/admission/AdmissionQueue.java
+++ b/admission/src/main/java/org/agatefield/admission/AdmissionQueue.java
@@ -114,7 +114,8 @@
   }
 
   /** Learns how long a request took that was answered whole. */
-  public void recordServiceTime(String target, double cost, long serviceNanoseconds, long nowNanoseconds) {
+  public void recordServiceTime(
+      String target, double cost, long serviceNanoseconds, long nowNanoseconds) {
     lastNanoseconds = nowNanoseconds;
     meter(target).recordServiceTime(cost, serviceNanoseconds, nowNanoseconds);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/Daemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/Daemon.java
@@ -18,7 +18,6 @@
 import org.agatefield.daemon.core.DemandSource;
 import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.dispatch.BoundedAdapterLoader;
 import org.agatefield.daemon.dispatch.HomeEntryDirectory;
 import org.agatefield.daemon.dispatch.RoutingDispatcher;
@@ -32,8 +31,8 @@
 import org.agatefield.daemon.operate.OperatorApiDependencies;
 import org.agatefield.daemon.peers.PeerCoordinator;
 import org.agatefield.daemon.placing.LedgerDirectory;
-import org.agatefield.daemon.placing.PlacementController;
 import org.agatefield.daemon.placing.PlacementContext;
+import org.agatefield.daemon.placing.PlacementController;
 import org.agatefield.daemon.placing.PlacementTimings;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.engine.EngineClientOptions;
@@ -106,7 +105,8 @@
     engines = engineClient;
     configuration =
         closer.register(
-            new ConfigurationManager(vertx, store, platform.pollInterval(), metrics, monitor, hook));
+            new ConfigurationManager(
+                vertx, store, platform.pollInterval(), metrics, monitor, hook));
     ledgers =
         closer.register(
             new LedgerDirectory(vertx, store, platform.pollInterval(), configuration, engines));
--- a/daemon/src/main/java/org/agatefield/daemon/calls/CallContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/CallContext.java
@@ -3,7 +3,6 @@
 import io.vertx.core.Vertx;
 import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.FailPointHook;
 
 /** What all executions of an instance share. Immutable. */
 record CallContext(
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -12,9 +12,8 @@
 import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimAction;
@@ -58,7 +57,7 @@
   private final CompletableFuture<ServiceResponse> reply = new CompletableFuture<>();
   private final Backoff polls = new Backoff(FIRST_POLL_DELAY, LONGEST_POLL_DELAY);
   private final AtomicInteger permittedSends = new AtomicInteger(1);
-  private ClaimState<ServiceResponse> state = ClaimState.arrived();
+  private ClaimState<ServiceResponse> state = ClaimState.initial();
   private Optional<Dispatch> dispatch = Optional.empty();
   private Optional<StoredClaim> lastRead = Optional.empty();
   private Optional<StoredClaim> own = Optional.empty();
@@ -97,7 +96,8 @@
   /** Returns whether a claim of this arrival may be in the store without its outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING ->
+          true;
       default -> false;
     };
   }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
@@ -15,9 +15,8 @@
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
 import org.agatefield.daemon.core.NonRepeatableCallExecutor;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.FailPointHook;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimNames;
@@ -58,7 +57,8 @@
       MetricRegistry metrics) {
     ClaimStore claims = new ClaimStore(new CircuitBreakingStore(store, LONGEST_STORE_PAUSE));
     ClaimRemover remover = new ClaimRemover(vertx, claims, limits.lateEffectWindow());
-    HolderStateEvaluator holders = new HolderStateEvaluator(instances, remover, limits.holderGrace());
+    HolderStateEvaluator holders =
+        new HolderStateEvaluator(instances, remover, limits.holderGrace());
     this.parts = new CallContext(vertx, claims, remover, holders, outcomes, hook, monitor);
     this.instances = instances;
     this.limits = limits;
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
@@ -14,8 +14,6 @@
 import org.agatefield.daemon.core.FailPoint;
 import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
-import org.agatefield.daemon.core.FailPoint;
-import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.store.InformerListener;
 import org.agatefield.store.ObjectInformer;
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingDispatcher.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingDispatcher.java
@@ -207,7 +207,8 @@
       core.refuse(pending, ErrorKind.NO_UPSTREAM, "no upstream answers", RETRY_AFTER, now);
       return future;
     }
-    boolean continuesAdmittedWork = failed.hasResponseStarted() || outcome == DispatchOutcome.UNREACHABLE;
+    boolean continuesAdmittedWork =
+        failed.hasResponseStarted() || outcome == DispatchOutcome.UNREACHABLE;
     if (!continuesAdmittedWork && !retries.mayRetry()) {
       metrics.retriesOverBudget.inc();
       core.refuse(pending, ErrorKind.OVERLOADED, "the retry budget is spent", RETRY_AFTER, now);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
@@ -82,7 +82,7 @@
   private QuotaBucket bucket(ClientAccount account, long now) {
     TokenQuota quota = account.quota().orElseThrow();
     TokenRate total = tolerance.rate(quota.perSecond(), quota.burst());
-    TokenRate share = adjustment.apply(total.scaled(1.0 / fleet.most(now)));
+    TokenRate share = adjustment.apply(total.scaled(1.0 / fleet.recentMaximum(now)));
     return buckets.bucket(account.name(), share, now);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -26,7 +26,6 @@
 import org.agatefield.daemon.forward.wire.PlatformDialect;
 import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
-import org.agatefield.forwarding.StartInTimePolicy;
 import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -274,7 +274,7 @@
     TokenRate rate =
         tolerance
             .rate(quota.perSecond(), quota.burst())
-            .scaled(Math.min(1, visible / fleetSize.most(now)));
+            .scaled(Math.min(1, visible / fleetSize.recentMaximum(now)));
     return buckets.bucket(account.name(), rate, now);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -89,7 +89,8 @@
             this);
     this.uncachedTokens =
         terms.prompt().map(prompt -> context.loads().uncachedTokens(runner.id(), prompt)).orElse(0);
-    this.tokensAhead = context.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
+    this.tokensAhead =
+        context.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
   }
 
   void start(HttpServerRequest request, Supplier<MultiMap> headers, Buffer content) {
@@ -134,7 +135,7 @@
         attemptNumber,
         runner.id(),
         deadline - MonotonicClock.milliseconds());
-    followUp.accept(state.unreached(attemptNumber));
+    followUp.accept(state.connectFailed(attemptNumber));
   }
 
   @Override
@@ -147,7 +148,7 @@
         attemptNumber,
         runner.id(),
         cause);
-    followUp.accept(state.unreached(attemptNumber));
+    followUp.accept(state.connectFailed(attemptNumber));
   }
 
   @Override
@@ -225,7 +226,7 @@
     }
     began = true;
     long milliseconds = MonotonicClock.milliseconds() - sentAt;
-    context.loads().read(runner.id(), uncachedTokens);
+    context.loads().prefillEnded(runner.id(), uncachedTokens);
     context.selector().responseStarted(runner.id(), milliseconds);
     if (terms.prompt().isPresent()) {
       context.loads().recordPrefillTime(runner.id(), tokensAhead, milliseconds);
@@ -242,7 +243,7 @@
     released = true;
     context.vertx().cancelTimer(stallTimer);
     if (!began) {
-      context.loads().read(runner.id(), uncachedTokens);
+      context.loads().prefillEnded(runner.id(), uncachedTokens);
     }
     context.loads().ended(runner.id());
     terms.prompt().ifPresent(prompt -> context.demand().running(service, prompt, runner.id(), -1));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -61,9 +61,11 @@
   void noticeReceived(PeerMessage.RunnerNotice notice, long now) {
     notice
         .leavingAgeMilliseconds()
-        .ifPresent(age -> recordLeaving(notice.runner(), notice.startTimeMilliseconds(), now - age));
+        .ifPresent(
+            age -> recordLeaving(notice.runner(), notice.startTimeMilliseconds(), now - age));
     if (notice.quietMilliseconds() > 0) {
-      recordBackoff(notice.runner(), notice.startTimeMilliseconds(), now + notice.quietMilliseconds());
+      recordBackoff(
+          notice.runner(), notice.startTimeMilliseconds(), now + notice.quietMilliseconds());
     }
   }
 
@@ -78,7 +80,8 @@
    */
   long backoffUntil(RunnerEntry runner, long now) {
     Backoff recorded = backoffs.get(runner.id());
-    boolean current = recorded != null && recorded.startTimeMilliseconds() == runner.startTimeMilliseconds();
+    boolean current =
+        recorded != null && recorded.startTimeMilliseconds() == runner.startTimeMilliseconds();
     return current ? recorded.untilMilliseconds() : now;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -156,7 +156,8 @@
     RunnerEntry before = entries.put(id, entry);
     usableByService.clear();
     contents.put(id, content);
-    boolean newProcess = before == null || before.startTimeMilliseconds() != entry.startTimeMilliseconds();
+    boolean newProcess =
+        before == null || before.startTimeMilliseconds() != entry.startTimeMilliseconds();
     boolean newState = newProcess || before.draining() != entry.draining();
     if (newState) {
       LOGGER.info(
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
@@ -13,5 +13,5 @@
 public record PlatformDialect(
     CallerDialect callers,
     RunnerDialect runners,
-    StoredObjectDialect knowledge,
+    StoredObjectDialect storedObjects,
     StoreDialect store) {}
--- a/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
@@ -44,7 +44,8 @@
       return CompletableFuture.completedFuture(Optional.empty());
     }
     String key =
-        URLEncoder.encode(UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
+        URLEncoder.encode(
+            UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
     UpstreamServiceRequest statusRequest =
         new UpstreamServiceRequest(
             HttpMethod.GET,
--- a/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
@@ -3,7 +3,6 @@
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.daemon.core.Dispatch;
 import org.agatefield.daemon.core.DispatchOutcome;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.AgatefieldException;
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
@@ -8,7 +8,6 @@
 import org.agatefield.daemon.core.InstanceDirectory;
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.LeaseView;
-import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.engine.EngineClient;
 import org.agatefield.store.ObjectStore;
 
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.agatefield.daemon.core.FailPoint;
+import org.agatefield.daemon.core.InvariantMonitor.Invariant;
 import org.agatefield.engine.OrderResult;
 import org.agatefield.lease.LeaseGrant;
 import org.agatefield.model.LoadReport;
@@ -27,7 +27,6 @@
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
-import org.agatefield.placement.ReconciliationStep;
 import org.agatefield.placement.RunnerReconciler;
 import org.agatefield.placement.RunnerView;
 import org.apache.logging.log4j.LogManager;
@@ -64,7 +63,8 @@
   private LoadBudget budget = LoadBudget.startingAt(System.nanoTime());
 
   /** Creates a duty; {@link #start()} starts it. */
-  public PlacementController(PlacementContext parts, PlacementTimings terms, PlacementPolicy policy) {
+  public PlacementController(
+      PlacementContext parts, PlacementTimings terms, PlacementPolicy policy) {
     this.parts = parts;
     this.terms = terms;
     this.table = new LedgerTable(parts.store());
@@ -200,7 +200,8 @@
     takeover.renew(runner, token).whenComplete((done, failure) -> ended(runner, state, failure));
   }
 
-  private void take(Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
+  private void take(
+      Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
     state.begin();
     long token = heldToken;
     LOGGER.info("placement step upstream={} reason=\"{}\"", runner.name(), step.reason());
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
@@ -39,7 +39,8 @@
    *
    * @param adoptAnything whether instances adopt what they hear last, also an earlier document
    */
-  ConcurrentOperatorsSimulation(long seed, Set<RandomOrderStore.Mechanism> off, boolean adoptAnything) {
+  ConcurrentOperatorsSimulation(
+      long seed, Set<RandomOrderStore.Mechanism> off, boolean adoptAnything) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     this.store = new RandomOrderStore(random, off);
     this.history = new ConfigurationHistory(store);
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
@@ -47,7 +47,8 @@
 
   private static long failures(Set<Mechanism> off, boolean adoptAnything) {
     return LongStream.range(0, SEEDS)
-        .filter(seed -> !new ConcurrentOperatorsSimulation(seed, off, adoptAnything).run().isEmpty())
+        .filter(
+            seed -> !new ConcurrentOperatorsSimulation(seed, off, adoptAnything).run().isEmpty())
         .count();
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/core/UpstreamIdempotencyKeysTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/core/UpstreamIdempotencyKeysTest.java
@@ -17,7 +17,8 @@
       @ForAll @CharRange(from = ':', to = ';') @StringLength(min = 1, max = 4) String key,
       @ForAll @CharRange(from = ':', to = ';') @StringLength(min = 1, max = 4) String otherKey) {
     if (!first.equals(second)) {
-      assertNotEquals(UpstreamIdempotencyKeys.of(first, key), UpstreamIdempotencyKeys.of(second, otherKey));
+      assertNotEquals(
+          UpstreamIdempotencyKeys.of(first, key), UpstreamIdempotencyKeys.of(second, otherKey));
     }
   }
 
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -216,7 +216,7 @@
   }
 
   private void refreshAll() {
-    members.values().forEach(member -> member.size.look(now));
+    members.values().forEach(member -> member.size.sample(now));
     members.values().forEach(member -> member.quotas.refresh(now));
     schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::refreshAll);
   }
--- a/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
@@ -30,7 +30,6 @@
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.NonRepeatableCall;
 import org.agatefield.daemon.core.NonRepeatableCallExecutor;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.engine.EngineClientOptions;
--- a/fleet/src/test/java/org/agatefield/fleet/HookedDaemonMain.java
+++ b/fleet/src/test/java/org/agatefield/fleet/HookedDaemonMain.java
@@ -27,7 +27,8 @@
   /** Runs the daemon. */
   public static void main(String[] arguments) {
     String step = System.getProperty("test.step", "");
-    AgatefieldMain.run(arguments, step.isEmpty() ? FailPointHook.NONE : hook(FailPoint.valueOf(step)));
+    AgatefieldMain.run(
+        arguments, step.isEmpty() ? FailPointHook.NONE : hook(FailPoint.valueOf(step)));
   }
 
   private static FailPointHook hook(FailPoint wanted) {
--- a/fleet/src/test/java/org/agatefield/fleet/calls/AtMostOnceProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/AtMostOnceProcessTest.java
@@ -187,7 +187,8 @@
 
   @Test
   void storeDownBeforeTheClaimIsRefusedAsNotRun() {
-    StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_CLAIM, "k-down-claim", false);
+    StepFault fault =
+        bookings.restartWith("entry-1", FailPoint.BEFORE_CLAIM, "k-down-claim", false);
     final CompletableFuture<FleetHttp.Answer> caller =
         bookings.send("entry-1", "k-down-claim", BODY, Map.of());
     fault.awaitReached();
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallCostTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallCostTest.java
@@ -16,8 +16,8 @@
 import org.agatefield.daemon.calls.ClaimSweeper;
 import org.agatefield.daemon.calls.OutcomeQuery;
 import org.agatefield.daemon.calls.StoreBackedCallExecutor;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.FailPointHook;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
@@ -78,7 +78,8 @@
   @Test
   void claimIsSweptAfterItsRetentionByTheHolderOfTheLease() {
     CallLimits limits = CallsBench.shortLimits(Duration.ofMillis(1));
-    StoreBackedCallExecutor first = bench.newInstance("a", FailPointHook.NONE, OutcomeQuery.NONE, limits);
+    StoreBackedCallExecutor first =
+        bench.newInstance("a", FailPointHook.NONE, OutcomeQuery.NONE, limits);
     PlainService quick = new PlainService("booking", List.of(), Optional.empty(), 1);
     for (int index = 0; index < 30; index++) {
       String key = "key-" + index;
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
@@ -27,9 +27,8 @@
 import org.agatefield.daemon.core.InvariantMonitor;
 import org.agatefield.daemon.core.ModelRequest;
 import org.agatefield.daemon.core.NonRepeatableCall;
-import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.daemon.core.ServiceRequest;
-import org.agatefield.daemon.core.FailPointHook;
+import org.agatefield.daemon.core.ServiceResponse;
 import org.agatefield.model.Address;
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.Closer;
@@ -111,7 +110,8 @@
     return newInstance(id, hook, outcomes, shortLimits(Duration.ofHours(1)));
   }
 
-  StoreBackedCallExecutor newInstance(String id, FailPointHook hook, OutcomeQuery outcomes, CallLimits limits) {
+  StoreBackedCallExecutor newInstance(
+      String id, FailPointHook hook, OutcomeQuery outcomes, CallLimits limits) {
     aliveInstances.add(id);
     return closer.register(
         new StoreBackedCallExecutor(
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementFailureTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementFailureTest.java
@@ -33,7 +33,8 @@
   @ValueSource(booleans = {true, false})
   void plannerThatWakesAfterItsLeaseAndSendsItsOrderOvercommitsNothing(boolean checks) {
     FleetPlan plan = plan(List.of(new FleetPlan.Engine("engine-1", FIRST, 10_000, checks)));
-    StepFault fault = StepFault.hold(FailPoint.BEFORE_ORDER, "engine-1", directory.resolve("order"));
+    StepFault fault =
+        StepFault.hold(FailPoint.BEFORE_ORDER, "engine-1", directory.resolve("order"));
     try (LocalFleet fleet = fleet(plan)) {
       FleetStatus status = new FleetStatus(fleet);
       startWithPlanner(fleet, status, fault);
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
@@ -11,7 +11,8 @@
  * What is known of the work at each runner: this instance's own, and what neighbours tell.
  *
  * <p>Invariant: own counts return to zero when every attempt has ended. What a neighbour told is
- * dropped once it is older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Confined to one thread.
+ * dropped once it is older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Confined to one
+ * thread.
  */
 public final class RunnerLoads {
   /** How long what a neighbour told counts; it is told again several times in that time. */
@@ -153,7 +154,8 @@
     Map<String, Load> shares = ownLoads();
     for (String id : neighbourIds) {
       NeighbourLoad load = neighbours.get(id);
-      if (load == null || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
+      if (load == null
+          || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
         continue;
       }
       load.shares().forEach((runner, share) -> shares.merge(runner, share, Load::plus));
@@ -177,7 +179,8 @@
   public Load total(String runner, long nowMilliseconds) {
     neighbours
         .values()
-        .removeIf(load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
+        .removeIf(
+            load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
     OwnLoad mine = own.get(runner);
     int running = mine == null ? 0 : mine.running;
     int unread = mine == null ? 0 : mine.pendingPrefillTokens;
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimProtocol.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimProtocol.java
@@ -100,7 +100,9 @@
         return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
       }
       return prepend(
-          answerFor(found, arrival), new ClaimAction.ReleaseUpstream<>(), new ClaimAction.Remove<>());
+          answerFor(found, arrival),
+          new ClaimAction.ReleaseUpstream<>(),
+          new ClaimAction.Remove<>());
     }
     // The create may still take effect: sending now could follow or precede another's send.
     RunState runState = event instanceof ClaimEvent.Absent ? RunState.NO : RunState.UNKNOWN;
@@ -137,7 +139,8 @@
     }
     if (arrival.outcomeQueryable()) {
       return new ClaimStep<>(
-          new ClaimState<>(Phase.QUERYING_OWN_OUTCOME, Optional.empty(), Optional.of(failed.error())),
+          new ClaimState<>(
+              Phase.QUERYING_OWN_OUTCOME, Optional.empty(), Optional.of(failed.error())),
           List.of(new ClaimAction.QueryService<>()));
     }
     return refuseAndRecordLost(failed.error());
@@ -146,7 +149,9 @@
   private ClaimStep<A> afterReacquire(ClaimEvent<A> event) {
     if (event instanceof ClaimEvent.AcquireFailed<A> failed) {
       return step(
-          Phase.DONE, new ClaimAction.Remove<>(), new ClaimAction.RefuseWithError<>(failed.error()));
+          Phase.DONE,
+          new ClaimAction.Remove<>(),
+          new ClaimAction.RefuseWithError<>(failed.error()));
     }
     return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
   }
--- a/membership/src/main/java/org/agatefield/membership/Membership.java
+++ b/membership/src/main/java/org/agatefield/membership/Membership.java
@@ -226,7 +226,8 @@
   private void hearGeneration(MembershipMessage message, Outbox outbox) {
     if (message.generation() > generation) {
       outbox.actions.add(
-          new MembershipAction.GenerationObserved(message.sender().instance(), message.generation()));
+          new MembershipAction.GenerationObserved(
+              message.sender().instance(), message.generation()));
     }
   }
 
--- a/membership/src/main/java/org/agatefield/membership/Prober.java
+++ b/membership/src/main/java/org/agatefield/membership/Prober.java
@@ -15,7 +15,8 @@
   private final TargetSelector targets;
   private final OpenProbes probing = new OpenProbes();
 
-  Prober(MembershipSettings settings, MemberTable table, LocalHealth health, TargetSelector targets) {
+  Prober(
+      MembershipSettings settings, MemberTable table, LocalHealth health, TargetSelector targets) {
     this.settings = settings;
     this.table = table;
     this.health = health;
--- a/membership/src/test/java/org/agatefield/membership/DomainRelaysTest.java
+++ b/membership/src/test/java/org/agatefield/membership/DomainRelaysTest.java
@@ -60,7 +60,9 @@
   @Test
   void oneInstanceOfLargeFailureDomainSpeaksForIt() {
     List<Instance> all = domain("a", 9);
-    assertEquals(1, all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
+    assertEquals(
+        1,
+        all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
   }
 
   @Test
@@ -71,7 +73,9 @@
     List<Instance> watching =
         all.stream().filter(self -> new DomainRelays(self, all, all).sources().isEmpty()).toList();
     assertEquals(List.of(all.get(0)), watching);
-    assertEquals(3, all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
+    assertEquals(
+        3,
+        all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
   }
 
   @Test
@@ -119,7 +123,8 @@
       for (Instance source : relays.sources()) {
         assertTrue(source.id().compareTo(each.id()) < 0);
         assertEquals(each.failureDomain().region(), source.failureDomain().region());
-        assertEquals(relays.representsDomain(), !each.failureDomain().equals(source.failureDomain()));
+        assertEquals(
+            relays.representsDomain(), !each.failureDomain().equals(source.failureDomain()));
         if (relays.representsDomain()) {
           assertTrue(new DomainRelays(source, alive, answering).representsDomain());
         }
--- a/placement/src/main/java/org/agatefield/placement/ReplicaDraft.java
+++ b/placement/src/main/java/org/agatefield/placement/ReplicaDraft.java
@@ -55,7 +55,9 @@
   private int evaluations;
 
   ReplicaDraft(
-      List<EngineView> engines, List<ModelProfile> models, Map<String, DemandTracker.Demand> demands) {
+      List<EngineView> engines,
+      List<ModelProfile> models,
+      Map<String, DemandTracker.Demand> demands) {
     this.engines = engines;
     this.demands = demands;
     models.forEach(model -> sizes.put(model.name(), model));
--- a/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
@@ -96,12 +96,14 @@
   }
 
   private static Optional<ReconciliationStep> adoption(Scene scene) {
-    for (String name : scene.report().versions().stream().filter(RunnerReconciler::isOurs).toList()) {
+    for (String name :
+        scene.report().versions().stream().filter(RunnerReconciler::isOurs).toList()) {
       VersionId version = VersionId.parse(name);
       if (!hasEntry(scene, version)) {
         long unexplained = Math.max(0, scene.report().usedMegabytes() - heldMegabytes(scene));
         RunnerLedger adopted = LedgerTransitions.adopt(scene.ledger(), version, unexplained);
-        return Optional.of(ReconciliationStep.write(adopted, version + " is held without an entry"));
+        return Optional.of(
+            ReconciliationStep.write(adopted, version + " is held without an entry"));
       }
     }
     return Optional.empty();
@@ -177,7 +179,8 @@
     }
     if (entry.state() == LedgerState.DRAINING) {
       RunnerLedger unloading = LedgerTransitions.unload(scene.ledger(), entry.version());
-      return Optional.of(ReconciliationStep.write(unloading, entry.version() + " was lost while drained"));
+      return Optional.of(
+          ReconciliationStep.write(unloading, entry.version() + " was lost while drained"));
     }
     RunnerLedger again = LedgerTransitions.renewLoadOrder(scene.ledger(), entry.version());
     return Optional.of(ReconciliationStep.write(again, entry.version() + " was lost"));
@@ -217,7 +220,8 @@
       ledger = LedgerTransitions.renewLoadOrder(ledger, entry.version());
     }
     PlannedOrder order = order(PlannedOrder.Action.LOAD, ledger, entry.version());
-    return Optional.of(ReconciliationStep.order(ledger, order, entry.version() + " is to be loaded"));
+    return Optional.of(
+        ReconciliationStep.order(ledger, order, entry.version() + " is to be loaded"));
   }
 
   private static PlannedOrder order(
--- a/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
+++ b/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
@@ -207,7 +207,8 @@
             current.ledger().plannerToken() <= planner.token
                 && write(
                     planner,
-                    LedgerTransitions.takeOver(current.ledger(), engine.memoryMegabytes, planner.token));
+                    LedgerTransitions.takeOver(
+                        current.ledger(), engine.memoryMegabytes, planner.token));
       }
     }
     planner.takenOver = complete;
@@ -271,7 +272,8 @@
     if (evidence.isEmpty()) {
       return;
     }
-    RunnerReconciler steps = new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
+    RunnerReconciler steps =
+        new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
     Optional<ReconciliationStep> step =
         steps.next(ledger, evidence.get(), engine.checksFencingTokens, planner.ages, now);
     if (step.isEmpty()) {
--- a/placement/src/test/java/org/agatefield/placement/PlacementPolicyTest.java
+++ b/placement/src/test/java/org/agatefield/placement/PlacementPolicyTest.java
@@ -127,7 +127,8 @@
         return ledger;
       }
       RunnerLedger released =
-          LedgerTransitions.release(LedgerTransitions.unload(ledger, move.version()), move.version());
+          LedgerTransitions.release(
+              LedgerTransitions.unload(ledger, move.version()), move.version());
       return LedgerTransitions.forget(released, move.version());
     }
   }
--- a/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
+++ b/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
@@ -17,7 +17,10 @@
   private final LedgerAges ages = new LedgerAges();
   private final RunnerLedger loading =
       LedgerTransitions.reserve(
-          LedgerTransitions.restarted(RunnerLedger.empty("runner", 50), "boot"), VERSION, 20, List.of());
+          LedgerTransitions.restarted(RunnerLedger.empty("runner", 50), "boot"),
+          VERSION,
+          20,
+          List.of());
   private final RunnerLedger unloading = LedgerTransitions.unload(loading, VERSION);
 
   @Test
@@ -43,7 +46,8 @@
     ages.observe(unloading, 1);
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     assertEquals(Optional.empty(), next(unloading, observed(0, List.of(), 0, 90), false, 90));
-    ReconciliationStep again = next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
+    ReconciliationStep again =
+        next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
     assertEquals(PlannedOrder.Action.UNLOAD, again.order().orElseThrow().action());
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 103);
     assertEquals(
@@ -65,7 +69,8 @@
   @Test
   void enginesThatRestartedAreFirstMadeToRefuseEarlierOrders() {
     LoadReport report = new LoadReport("boot-2", 50, 0, 0, 0, List.of(), List.of(), 0);
-    ReconciliationStep step = next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
+    ReconciliationStep step =
+        next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
     assertEquals(
         new PlannedOrder(
             PlannedOrder.Action.RAISE_TOKEN, new VersionId("", ""), 0, loading.highestToken()),
