--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -16,16 +16,17 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The runners that may get requests, from their entries in the store.
+ * Tracks the runners that may receive requests, from their entries in the store.
  *
- * <p>Invariants: a runner whose entry says that it leaves, or is deleted while the store answers,
- * gets no further request; entries that lapsed while the store was away stay usable until {@link
- * #RETURN_MILLISECONDS} after its return, since runners that live write them again in that time.
- * Confined to one event loop.
+ * <p>Invariants: a runner whose entry is draining, or is deleted while the store responds, receives
+ * no further request; entries that expired while the store was unavailable remain usable until
+ * {@link #RETURN_MILLISECONDS} after its return, since live runners rewrite their entries within
+ * that time. Confined to one event loop.
  */
 final class RunnerDirectory implements InformerListener {
   /**
-   * How long after the store's return a lapsed entry may come back; a runner writes each second.
+   * How long after the store's return an expired entry may be rewritten; a runner writes its entry
+   * every second.
    */
   static final long RETURN_MILLISECONDS = 2_200;
 
@@ -34,19 +35,19 @@
   private final StoredObjectDialect dialect;
   private final Map<String, RunnerEntry> entries = new HashMap<>();
   private final Map<String, JsonNode> contents = new HashMap<>();
-  private final Map<String, Long> lapsedAt = new HashMap<>();
+  private final Map<String, Long> expiredAt = new HashMap<>();
   private final Map<String, List<RunnerEntry>> usableByService = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
   private boolean storeAvailable = true;
   private long storeReturnedAt = Long.MIN_VALUE / 2;
   private long confirmedAt = Long.MIN_VALUE / 2;
 
-  /** Told of changes on the event loop. */
+  /** Receives changes on the event loop. */
   interface Listener {
-    /** An entry changed or was added. */
-    void runnerChanged(RunnerEntry entry, boolean newLife);
+    /** Called when an entry was added or changed. */
+    void runnerChanged(RunnerEntry entry, boolean newProcess);
 
-    /** A runner is gone. */
+    /** Called when a runner was removed. */
     void runnerGone(String id);
   }
 
@@ -74,8 +75,8 @@
   @Override
   public void changed(StoredObject object) {
     String id = object.key().name();
-    lapsedAt.remove(id);
-    learn(id, object.content(), object.resourceVersion());
+    expiredAt.remove(id);
+    apply(id, object.content(), object.resourceVersion());
   }
 
   @Override
@@ -87,28 +88,31 @@
       return;
     }
     if (mayReturn && !entry.draining()) {
-      lapsedAt.put(key.name(), now);
-      LOGGER.info("runner={} entry=lapsed store_returned_ms_ago={}", key.name(), ago(now));
+      expiredAt.put(key.name(), now);
+      LOGGER.info(
+          "runner={} entry=lapsed store_returned_ms_ago={}",
+          key.name(),
+          millisecondsSinceStoreReturn(now));
       return;
     }
     remove(key.name(), "deleted");
   }
 
-  /** Drops the runners whose entries have not come back in time. */
-  void dropLapsed(long now) {
-    if (lapsedAt.isEmpty() || !storeAvailable || now - storeReturnedAt < RETURN_MILLISECONDS) {
+  /** Removes runners whose expired entries were not rewritten in time. */
+  void removeExpired(long now) {
+    if (expiredAt.isEmpty() || !storeAvailable || now - storeReturnedAt < RETURN_MILLISECONDS) {
       return;
     }
-    List<String> gone = List.copyOf(lapsedAt.keySet());
-    lapsedAt.clear();
+    List<String> gone = List.copyOf(expiredAt.keySet());
+    expiredAt.clear();
     gone.forEach(id -> remove(id, "lapsed"));
   }
 
-  /** Takes entries from another instance, for runners that nothing is known of yet. */
+  /** Adds the entry of another instance if the runner is unknown. */
   void addFromPeer(String id, JsonNode content, long ageMilliseconds) {
     if (!entries.containsKey(id)) {
       LOGGER.info("runner={} source=peer age_ms={}", id, ageMilliseconds);
-      learn(id, content, "peer");
+      apply(id, content, "peer");
     }
   }
 
@@ -120,18 +124,18 @@
     return entries.values();
   }
 
-  /** Returns the runners of a service that take new work. */
+  /** Returns the runners of a service that accept new requests. */
   List<RunnerEntry> usable(String service) {
-    // Every request asks, entries change rarely.
+    // Cached because every request needs the list while entries rarely change.
     return usableByService.computeIfAbsent(
         service,
-        wanted ->
+        serviceName ->
             entries.values().stream()
-                .filter(entry -> entry.service().equals(wanted) && !entry.draining())
+                .filter(entry -> entry.service().equals(serviceName) && !entry.draining())
                 .toList());
   }
 
-  /** Returns the entries as they lie in the store, by the runners' identifiers. */
+  /** Returns the entries as stored, by runner identifier. */
   Map<String, JsonNode> contents() {
     return contents;
   }
@@ -141,7 +145,7 @@
     return MonotonicClock.milliseconds() - confirmedAt;
   }
 
-  private void learn(String id, JsonNode content, String version) {
+  private void apply(String id, JsonNode content, String version) {
     Optional<RunnerEntry> decoded = dialect.decodeRunner(id, content);
     if (decoded.isEmpty()) {
       LOGGER.warn("runner={} version={} entry=unreadable", id, version);
@@ -152,9 +156,9 @@
     RunnerEntry before = entries.put(id, entry);
     usableByService.clear();
     contents.put(id, content);
-    boolean newLife =
+    boolean newProcess =
         before == null || before.startTimeMilliseconds() != entry.startTimeMilliseconds();
-    boolean newState = newLife || before.draining() != entry.draining();
+    boolean newState = newProcess || before.draining() != entry.draining();
     if (newState) {
       LOGGER.info(
           "runner={} service={} draining={} address={} domain={} version={}",
@@ -165,7 +169,7 @@
           entry.failureDomain(),
           version);
     }
-    listeners.forEach(listener -> listener.runnerChanged(entry, newLife));
+    listeners.forEach(listener -> listener.runnerChanged(entry, newProcess));
   }
 
   private void remove(String id, String cause) {
@@ -178,7 +182,7 @@
     listeners.forEach(listener -> listener.runnerGone(id));
   }
 
-  private long ago(long now) {
+  private long millisecondsSinceStoreReturn(long now) {
     return storeAvailable ? now - storeReturnedAt : -1;
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -33,11 +33,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests orders to a runner over HTTP whose answers and reports are delayed. */
+/** Uses a runner on real sockets that answers orders late and reports old state. */
 class EngineControllerTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final long SLOW_ANSWER_MILLISECONDS = 300;
-  private static final long REPORT_AGE_MILLISECONDS = 250; // reports may be some hundred ms old
+  // Per the specification, reports are some hundred milliseconds old.
+  private static final long REPORT_AGE_MILLISECONDS = 250;
   private static final int ACCEPTED = 202;
   private static final int CONFLICT = 409;
 
@@ -47,9 +48,12 @@
   private volatile RunnerReport report = report(0, false);
   private volatile int orderStatus = ACCEPTED;
   private volatile long answerDelay = 1;
-  private EngineController control;
+  private EngineController controller;
 
-  /** Encodes orders as text; decodes each report as the one that the test has set. */
+  /**
+   * Encodes orders as text with the model's name; reports are passed directly instead of being
+   * decoded.
+   */
   private final class Dialect implements RunnerDialect {
     @Override
     public void writeTerms(SendTerms terms, MultiMap headers) {}
@@ -100,7 +104,7 @@
     }
   }
 
-  private static final class GrantedLease implements EngineController.Orders {
+  private static final class Granted implements EngineController.PlannerCallbacks {
     @Override
     public Optional<LeaseGrant> grant() {
       return Optional.of(new LeaseGrant(1, Long.MAX_VALUE));
@@ -149,17 +153,17 @@
             Set.of());
     onLoop(
         () -> {
-          control =
+          controller =
               new EngineController(
                   vertx,
                   vertx.createHttpClient(),
                   new Dialect(),
-                  new GrantedLease(),
+                  new Granted(),
                   new OutstandingOrders());
-          control.update(entry, true, 8);
+          controller.update(entry, true, 8);
           return null;
         });
-    await().atMost(TIMEOUT).until(() -> afterTick(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(controller::isReady));
   }
 
   @AfterEach
@@ -191,47 +195,47 @@
   private <T> T afterTick(Supplier<T> query) {
     return onLoop(
         () -> {
-          control.tick();
+          controller.tick();
           return query.get();
         });
   }
 
-  private void begin(String model) {
+  private void startLoad(String model) {
     onLoop(
         () -> {
-          control.begin(new ReplicaMove("r", List.of(), model, true, 1_000));
+          controller.begin(new ReplicaMove("r", List.of(), model, true, 1_000));
           return null;
         });
   }
 
   @Test
-  void modelOfDelayedOrderStaysPossiblyHeldWhileReportsAreOlderThanTheAnswer() {
+  void modelWithDelayedOrderResponseStaysHeldWhileReportsAreOlderThanTheResponse() {
     answerDelay = SLOW_ANSWER_MILLISECONDS;
-    final long begun = System.nanoTime();
-    begin("a");
+    final long startedAt = System.nanoTime();
+    startLoad("a");
     await().atMost(TIMEOUT).until(() -> orders.size() == 1);
-    long until =
-        begun + Duration.ofMillis(SLOW_ANSWER_MILLISECONDS + REPORT_AGE_MILLISECONDS).toNanos();
-    while (System.nanoTime() < until) {
+    long oldReportsUntil =
+        startedAt + Duration.ofMillis(SLOW_ANSWER_MILLISECONDS + REPORT_AGE_MILLISECONDS).toNanos();
+    while (System.nanoTime() < oldReportsUntil) {
       assertTrue(
-          afterTick(control::possiblyHeld).contains("a"), "the report is older than the order");
+          afterTick(controller::possiblyHeld).contains("a"), "the report is older than the order");
     }
     report = report(1, false, "a");
-    await().atMost(TIMEOUT).until(() -> afterTick(control::isReady));
-    assertEquals(Set.of("a"), onLoop(control::possiblyHeld));
+    await().atMost(TIMEOUT).until(() -> afterTick(controller::isReady));
+    assertEquals(Set.of("a"), onLoop(controller::possiblyHeld));
   }
 
   @Test
-  void loadOvertakenByAnotherOrderIsDroppedForNewPlanning() {
+  void loadIsAbandonedWhenAnotherOrderTookEffectFirst() {
     orderStatus = CONFLICT;
-    begin("b");
+    startLoad("b");
     await().atMost(TIMEOUT).until(() -> orders.size() == 1);
     report = report(1, true);
     orderStatus = ACCEPTED;
     await().pollDelay(Duration.ofSeconds(1)).atMost(TIMEOUT).until(() -> afterTick(() -> true));
     report = report(1, false, "other");
-    await().atMost(TIMEOUT).until(() -> afterTick(control::isReady));
+    await().atMost(TIMEOUT).until(() -> afterTick(controller::isReady));
     assertEquals(1, orders.size(), orders.toString());
-    assertEquals(Set.of("other"), onLoop(control::possiblyHeld));
+    assertEquals(Set.of("other"), onLoop(controller::possiblyHeld));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EventLoopDelayTest.java
@@ -12,13 +12,13 @@
   private final EventLoopDelay delay = new EventLoopDelay();
 
   private void fire(long now) {
-    delay.fired(now);
-    delay.expectAt(now + PERIOD);
+    delay.timerFired(now);
+    delay.timerScheduled(now + PERIOD);
   }
 
   @Test
-  void bytesReadWithoutDelayHaveJustArrived() {
-    delay.expectAt(PERIOD);
+  void bytesReadOnTimeCountAsJustArrived() {
+    delay.timerScheduled(PERIOD);
     fire(PERIOD);
     fire(2 * PERIOD + EventLoopDelay.TOLERATED_MILLISECONDS);
     assertEquals(400, delay.earliestArrival(400));
@@ -27,14 +27,14 @@
 
   @Test
   void bytesReadBeforeAnOverdueTimerMayHaveArrivedWhenItWasDue() {
-    delay.expectAt(PERIOD);
+    delay.timerScheduled(PERIOD);
     assertTrue(delay.isBehind(2_000));
     assertEquals(PERIOD, delay.earliestArrival(2_000));
   }
 
   @Test
-  void connectionsAcceptedAfterTheStallMayCarryBytesFromBeforeIt() {
-    delay.expectAt(PERIOD);
+  void connectionsOpenedAfterTheStallMayCarryBytesFromBeforeIt() {
+    delay.timerScheduled(PERIOD);
     fire(2_000);
     assertEquals(PERIOD, delay.earliestArrival(2_050));
     fire(2_120);
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void sustainedOverloadDatesRequestsBackByAtMostTwoFirings() {
-    delay.expectAt(PERIOD);
+  void permanentOverloadAddsAtMostTwoFiringsToTheAgeOfRequests() {
+    delay.timerScheduled(PERIOD);
     long now = 0;
     for (int firing = 0; firing < 50; firing++) {
       now += PERIOD + 300;
--- a/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
@@ -30,13 +30,13 @@
   private final Vertx vertx = Vertx.vertx();
   private final List<Member> members = new ArrayList<>();
 
-  /** An instance that records the messages it receives. */
+  /** An instance that records received messages. */
   private final class Member implements ForwardingPeers.Listener {
-    private final List<PeerMessage> messages = new CopyOnWriteArrayList<>();
+    private final List<PeerMessage> receivedMessages = new CopyOnWriteArrayList<>();
     private final ForwardingPeers peers;
 
     Member(String id, String domain, List<Address> seeds) throws IOException {
-      Address address = freeAddress();
+      Address address = unusedAddress();
       Context context = vertx.getOrCreateContext();
       Instance self =
           new Instance(
@@ -52,7 +52,7 @@
 
     @Override
     public void received(PeerMessage message) {
-      messages.add(message);
+      receivedMessages.add(message);
     }
 
     @Override
@@ -61,7 +61,7 @@
     }
   }
 
-  private static Address freeAddress() throws IOException {
+  private static Address unusedAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
       return new Address("127.0.0.1", socket.getLocalPort());
     }
@@ -90,9 +90,11 @@
     PeerMessage later = new PeerMessage.PlannerNotice("sender", 4);
     sender.peers.broadcast(later);
     for (Member member : members.subList(1, members.size())) {
-      await().atMost(TIMEOUT).until(() -> member.messages.containsAll(Set.of(notice, later)));
-      assertEquals(2, member.messages.size(), member.messages.toString());
+      await()
+          .atMost(TIMEOUT)
+          .until(() -> member.receivedMessages.containsAll(Set.of(notice, later)));
+      assertEquals(2, member.receivedMessages.size(), member.receivedMessages.toString());
     }
-    assertEquals(List.of(), sender.messages);
+    assertEquals(List.of(), sender.receivedMessages);
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -18,15 +18,12 @@
 import org.agatefield.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/**
- * Tests the exchange of loads in fleets of several sizes, in which each instance sends requests to
- * the same runner.
- */
+/** Simulates fleets of several sizes in which each instance has sent requests to one runner. */
 class LoadExchangeTest {
   private static final int DOMAINS = 3;
   private static final String RUNNER = "runner";
   private static final int TOKENS = 100;
-  private static final long SETTLED_MILLISECONDS = 3_000;
+  private static final long CONVERGENCE_MILLISECONDS = 3_000;
 
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final Set<String> dead = new HashSet<>();
@@ -60,7 +57,7 @@
       messages.merge(instance.id(), 1, Integer::sum);
       if (!dead.contains(instance.id()) && !dead.contains(self.id())) {
         Member receiver = members.get(instance.id());
-        receiver.exchange.heard((PeerMessage.RunnerLoadReport) message, now);
+        receiver.exchange.reportReceived((PeerMessage.RunnerLoadReport) message, now);
       }
     }
   }
@@ -87,7 +84,7 @@
     while (now < end) {
       now += LoadExchange.PERIOD_MILLISECONDS;
       for (Member member : new ArrayList<>(members.values())) {
-        member.exchange.tell(now);
+        member.exchange.sendReports(now);
       }
     }
   }
@@ -96,42 +93,42 @@
     members.values().forEach(member -> member.loads.sent(RUNNER, TOKENS));
   }
 
-  private int knownRunning(String id) {
+  private int visibleRequests(String id) {
     return members.get(id).loads.total(RUNNER, now).running();
   }
 
   @Test
-  void eachInstanceOfLargeDomainsCountsTheLoadOfTheWholeFleetOnce() {
+  void instancesOfLargeDomainsCountEachRequestOfTheFleetOnce() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     for (String id : members.keySet()) {
-      assertEquals(members.size(), knownRunning(id), id);
+      assertEquals(members.size(), visibleRequests(id), id);
     }
   }
 
   @Test
-  void eachInstanceOfSmallDomainsCountsTheLoadOfTheWholeFleetOnce() {
+  void instancesOfSmallDomainsCountEachRequestOfTheFleetOnce() {
     startFleet(3);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     for (String id : members.keySet()) {
-      assertEquals(members.size(), knownRunning(id), id);
+      assertEquals(members.size(), visibleRequests(id), id);
     }
   }
 
   @Test
-  void anInstanceHandlesNoMoreMessagesInLargeDomainsThanInSmallOnes() {
-    assertTrue(mostMessagesBehindRelay(32) <= mostMessagesBehindRelay(8));
+  void messagesPerInstanceDoNotGrowWithTheDomainSize() {
+    assertTrue(maximumMessagesBehindRelay(32) <= maximumMessagesBehindRelay(8));
   }
 
-  private int mostMessagesBehindRelay(int instancesPerDomain) {
+  private int maximumMessagesBehindRelay(int instancesPerDomain) {
     members.clear();
     startFleet(instancesPerDomain);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     messages.clear();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     return members.values().stream()
         .filter(member -> !member.relays().representsDomain())
         .mapToInt(member -> messages.get(member.self().id()))
@@ -140,34 +137,34 @@
   }
 
   @Test
-  void endedRequestsAreSoonNoLongerCountedAnywhere() {
+  void finishedRequestsAreNoLongerCountedAnywhere() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     members.values().forEach(member -> member.loads.ended(RUNNER));
-    run(SETTLED_MILLISECONDS);
-    members.keySet().forEach(id -> assertEquals(0, knownRunning(id), id));
+    run(CONVERGENCE_MILLISECONDS);
+    members.keySet().forEach(id -> assertEquals(0, visibleRequests(id), id));
   }
 
   @Test
-  void neighboursExchangeLoadsWhileTheRelayIsDown() {
+  void neighboursReportToEachOtherWhileTheRelayIsSilent() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     dead.add("d0-aa");
-    run(SETTLED_MILLISECONDS);
-    assertEquals(7, knownRunning("d0-ab"));
+    run(CONVERGENCE_MILLISECONDS);
+    assertEquals(7, visibleRequests("d0-ab"));
   }
 
   @Test
   void recoveredRelayReportsForItsNeighboursAgain() {
     startFleet(8);
     sendOneRequestEach();
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     dead.add("d0-aa");
-    run(SETTLED_MILLISECONDS);
+    run(CONVERGENCE_MILLISECONDS);
     dead.clear();
-    run(SETTLED_MILLISECONDS);
-    assertEquals(members.size(), knownRunning("d0-ab"));
+    run(CONVERGENCE_MILLISECONDS);
+    assertEquals(members.size(), visibleRequests("d0-ab"));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
@@ -12,47 +12,48 @@
   void unansweredOrderCountsAfterRestartUntilItCanNoLongerTakeEffect() {
     orders.sent("m1", 1_000);
     assertEquals(Set.of(), orders.models(1_000));
-    orders.newLife();
-    assertEquals(Set.of("m1"), orders.models(1_000 + OutstandingOrders.LATE_MILLISECONDS));
-    assertEquals(Set.of(), orders.models(1_001 + OutstandingOrders.LATE_MILLISECONDS));
+    orders.runnerRestarted();
+    assertEquals(Set.of("m1"), orders.models(1_000 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
+    assertEquals(Set.of(), orders.models(1_001 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
   }
 
   @Test
   void adaptersAreCountedSeparatelyFromModels() {
     orders.sent("m1/a1", 0);
     orders.sent("m2", 0);
-    orders.newLife();
+    orders.runnerRestarted();
     assertEquals(1, orders.adapters(1));
     assertEquals(Set.of("m2"), orders.models(1));
   }
 
   @Test
-  void unansweredOrdersAreKeptOverTwoRestarts() {
+  void secondRestartRetainsTheOrdersFromBeforeTheFirst() {
     orders.sent("m1", 0);
-    orders.newLife();
+    orders.runnerRestarted();
     orders.sent("m2", 100);
-    orders.newLife();
+    orders.runnerRestarted();
     assertEquals(Set.of("m1", "m2"), orders.models(200));
   }
 
   @Test
-  void answeredOrderDoesNotCountEvenIfTheAnswerArrivesAfterRestart() {
+  void answeredOrderNoLongerCountsEvenIfTheResponseArrivedAfterTheRestart() {
     orders.sent("m1", 0);
     orders.sent("m2", 0);
     orders.answered("m1");
-    orders.newLife();
+    orders.runnerRestarted();
     orders.answered("m2");
     assertEquals(Set.of(), orders.models(1));
   }
 
   @Test
-  void ordersOutliveTheEntryOfTheirRunner() {
+  void ordersOutliveTheRunnerEntry() {
     OutstandingOrdersByRunner byRunner = new OutstandingOrdersByRunner();
     byRunner.of("r").sent("m1", 0);
-    byRunner.gone("r");
+    byRunner.runnerRemoved("r");
     byRunner.forget(runner -> false, 5_000);
     assertEquals(Set.of("m1"), byRunner.of("r").models(5_000));
-    byRunner.forget(runner -> false, 1 + OutstandingOrders.LATE_MILLISECONDS);
-    assertEquals(Set.of(), byRunner.of("r").models(1 + OutstandingOrders.LATE_MILLISECONDS));
+    byRunner.forget(runner -> false, 1 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS);
+    assertEquals(
+        Set.of(), byRunner.of("r").models(1 + OutstandingOrders.MAXIMUM_DELAY_MILLISECONDS));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -33,40 +33,41 @@
 import org.agatefield.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** Simulates a fleet in two regions with network partitions, restarts and delays. */
+/** Simulates a fleet in two regions with partitions, restarts and message delays. */
 class RegionalQuotaPolicyTest {
   private static final int INSTANCES = 20;
   private static final double REQUEST_TOKENS = 2_400;
   private static final double WINDOW_SECONDS = 8;
   private static final double OVERAGE = 0.1;
   private static final double SLACK = 17_000;
-  private static final long FAILURE_DETECTION_MILLISECONDS =
-      2_500; // until an unreachable instance is excluded
-  private static final long CROSS_REGION_DELAY_MILLISECONDS = 30;
-  private static final long LOCAL_DELAY_MILLISECONDS = 2;
+  // Time until a lost instance is detected.
+  private static final long DETECTION_MILLISECONDS = 2_500;
+  private static final long REGION_MILLISECONDS = 30;
+  private static final long LOCAL_MILLISECONDS = 2;
 
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
   private final List<Grant> grants = new ArrayList<>();
-  private final Set<String> partitioned = new HashSet<>();
+  private final Set<String> isolated = new HashSet<>();
   private long now;
   private long scheduled;
   private int refused;
-  private double unusedShare; // of the granted requests, later refused for another reason
-  private boolean withinQuota; // whether the account's requests stay within its quota
-  private QuotaBucket quota; // the account's quota without tolerance
+  // Share of the granted requests that are refunded because they were refused for another reason.
+  private double refundedShare;
+  private boolean withinQuota; // Whether the account requests no more than its quota allows.
+  private QuotaBucket allowance; // The quota without any tolerance.
 
   private record Event(long at, long number, Runnable task) {}
 
   private record Grant(long at, double tokens) {}
 
-  /** An instance; after a restart it is another member with the same name. */
+  /** One instance process; a restarted process is another member under the same name. */
   private final class Member implements RegionalQuotaPolicy.Fleet {
     private final Instance self;
     private final RegionalQuotaPolicy quotas;
     private ClientAccount account;
-    private final Map<String, Long> unreachableSince = new LinkedHashMap<>();
+    private final Map<String, Long> lostAt = new LinkedHashMap<>();
     private final FleetSize size = new FleetSize(() -> answering().size());
     private List<Instance> answering = List.of();
 
@@ -75,7 +76,7 @@
       this.account = account;
       this.quotas =
           new RegionalQuotaPolicy(
-              (delay, task) -> schedule(delay, ifStillRunning(task)),
+              (delay, task) -> schedule(delay, ifRunning(task)),
               () -> now,
               this,
               new QuotaTolerance(WINDOW_SECONDS, OVERAGE, SLACK),
@@ -83,8 +84,8 @@
               () -> new AccountTable(List.of(this.account)));
     }
 
-    /** Skips the task if the process has ended. */
-    private Runnable ifStillRunning(Runnable task) {
+    /** Runs the task only if this process is still running. */
+    private Runnable ifRunning(Runnable task) {
       return () -> {
         if (members.get(self.id()) == this) {
           task.run();
@@ -97,36 +98,36 @@
       return self;
     }
 
-    /** Returns the reachable instances, and unreachable ones until their failure is detected. */
+    /** Includes reachable instances, and unreachable ones until their loss is detected. */
     @Override
     public List<Instance> answering() {
-      List<Instance> presumedAlive = new ArrayList<>();
+      List<Instance> visible = new ArrayList<>();
       for (Member other : members.values()) {
         if (other == this || reaches(self.id(), other.self.id())) {
-          unreachableSince.remove(other.self.id());
-          presumedAlive.add(other.self);
-        } else if (now - unreachableSince.computeIfAbsent(other.self.id(), id -> now)
-            < FAILURE_DETECTION_MILLISECONDS) {
-          presumedAlive.add(other.self);
+          lostAt.remove(other.self.id());
+          visible.add(other.self);
+        } else if (now - lostAt.computeIfAbsent(other.self.id(), id -> now)
+            < DETECTION_MILLISECONDS) {
+          visible.add(other.self);
         }
       }
-      if (!presumedAlive.equals(answering)) {
-        answering = presumedAlive;
+      if (!visible.equals(answering)) {
+        answering = visible;
       }
       return answering;
     }
 
     @Override
     public boolean isIsolated() {
-      return partitioned.contains(self.id()) && now - partitionedAt > 1_500;
+      return isolated.contains(self.id()) && now - isolatedAt > 1_500;
     }
 
     @Override
     public void send(Instance to, PeerMessage message) {
       if (reaches(self.id(), to.id())) {
         schedule(
-            networkDelay(self, to),
-            () -> members.get(to.id()).quotas.heard((PeerMessage.QuotaReturn) message));
+            latency(self, to),
+            () -> members.get(to.id()).quotas.tokensReturned((PeerMessage.QuotaReturn) message));
       }
     }
 
@@ -135,19 +136,16 @@
       CompletableFuture<PeerMessage> answered = new CompletableFuture<>();
       schedule(
           limit,
-          ifStillRunning(() -> answered.completeExceptionally(new TimeoutException("no answer"))));
-      long networkDelay = networkDelay(self, to);
+          ifRunning(() -> answered.completeExceptionally(new TimeoutException("no answer"))));
+      long latency = latency(self, to);
       if (reaches(self.id(), to.id())) {
-        schedule(networkDelay, () -> deliver(to, message, answered, networkDelay));
+        schedule(latency, () -> deliver(to, message, answered, latency));
       }
       return answered;
     }
 
     private void deliver(
-        Instance to,
-        PeerMessage message,
-        CompletableFuture<PeerMessage> answered,
-        long networkDelay) {
+        Instance to, PeerMessage message, CompletableFuture<PeerMessage> answered, long latency) {
       Member receiver = members.get(to.id());
       if (receiver == null || !reaches(self.id(), to.id())) {
         return;
@@ -158,8 +156,8 @@
           .thenAccept(
               answer ->
                   schedule(
-                      networkDelay,
-                      ifStillRunning(
+                      latency,
+                      ifRunning(
                           () -> {
                             if (reaches(self.id(), to.id())) {
                               answered.complete(answer);
@@ -168,15 +166,15 @@
     }
   }
 
-  private long partitionedAt;
+  private long isolatedAt;
 
-  private static long networkDelay(Instance from, Instance to) {
+  private static long latency(Instance from, Instance to) {
     boolean sameRegion = from.failureDomain().region().equals(to.failureDomain().region());
-    return sameRegion ? LOCAL_DELAY_MILLISECONDS : CROSS_REGION_DELAY_MILLISECONDS;
+    return sameRegion ? LOCAL_MILLISECONDS : REGION_MILLISECONDS;
   }
 
   private boolean reaches(String from, String to) {
-    return from.equals(to) || (!partitioned.contains(from) && !partitioned.contains(to));
+    return from.equals(to) || (!isolated.contains(from) && !isolated.contains(to));
   }
 
   private void schedule(long delay, Runnable task) {
@@ -202,11 +200,11 @@
 
   private void startFleet(ClientAccount account) {
     TokenQuota terms = account.quota().orElseThrow();
-    quota = new QuotaBucket(new TokenRate(terms.perSecond(), terms.burst()), -10_000);
+    allowance = new QuotaBucket(new TokenRate(terms.perSecond(), terms.burst()), -10_000);
     for (int index = 0; index < INSTANCES; index++) {
       startMember(index, account);
     }
-    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::maintainAll);
+    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::refreshAll);
     runUntil(15_000);
   }
 
@@ -217,14 +215,14 @@
     members.put(instance.id(), new Member(instance, account));
   }
 
-  private void maintainAll() {
+  private void refreshAll() {
     members.values().forEach(member -> member.size.sample(now));
-    members.values().forEach(member -> member.quotas.keep(now));
-    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::maintainAll);
+    members.values().forEach(member -> member.quotas.refresh(now));
+    schedule(RegionalQuotaPolicy.REFRESH_MILLISECONDS, this::refreshAll);
   }
 
   private void sendRequest(ClientAccount account, Random random, Optional<Integer> region) {
-    if (withinQuota && !quota.tryTake(REQUEST_TOKENS, now)) {
+    if (withinQuota && !allowance.tryTake(REQUEST_TOKENS, now)) {
       return;
     }
     List<Member> all =
@@ -240,8 +238,8 @@
         REQUEST_TOKENS,
         1_500,
         decision -> {
-          if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
-            if (random.nextDouble() < unusedShare) {
+          if (decision instanceof QuotaPolicy.Decision.Granted && refundedShare > 0) {
+            if (random.nextDouble() < refundedShare) {
               schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
@@ -254,14 +252,10 @@
         });
   }
 
-  /** Sends requests at random moments around a rate. */
+  /** Sends requests at random times with the given mean rate. */
   private void traffic(
-      ClientAccount account,
-      double perSecond,
-      long durationMilliseconds,
-      Random random,
-      int region) {
-    long end = now + durationMilliseconds;
+      ClientAccount account, double perSecond, long forMilliseconds, Random random, int region) {
+    long end = now + forMilliseconds;
     double at = now;
     while (at < end) {
       at += -Math.log(1 - random.nextDouble()) / perSecond * 1_000;
@@ -282,32 +276,30 @@
           last++) {
         sum += grants.get(last).tokens();
       }
-      assertTrue(
-          sum <= allowed,
-          sum + " granted, allowed are " + allowed + ", from " + grants.get(first).at());
+      assertTrue(sum <= allowed, sum + " of " + allowed + " from " + grants.get(first).at());
     }
   }
 
   @Property(tries = 150, seed = "4711")
-  void quotaHoldsUnderOverloadDuringPartitionsAndRestarts(
+  void floodedAccountStaysWithinQuotaAcrossPartitionsAndRestarts(
       @ForAll @IntRange(max = 1_000_000) int seed,
       @ForAll @IntRange(min = 1, max = 35) int requestsPerSecond) {
     members.clear();
     events.clear();
     grants.clear();
-    partitioned.clear();
+    isolated.clear();
     now = 0;
     Random random = new Random(seed);
-    unusedShare = random.nextInt(3) * 0.3;
+    refundedShare = random.nextInt(3) * 0.3;
     double perSecond = requestsPerSecond * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
     startFleet(account);
     traffic(account, 4 * requestsPerSecond, 30_000, random, -1);
     runUntil(now + random.nextInt(5_000));
-    partitionedAt = now;
-    members.keySet().stream().filter(id -> random.nextDouble() < 0.35).forEach(partitioned::add);
+    isolatedAt = now;
+    members.keySet().stream().filter(id -> random.nextDouble() < 0.35).forEach(isolated::add);
     runUntil(now + 12_000);
-    partitioned.clear();
+    isolated.clear();
     runUntil(now + random.nextInt(4_000));
     double restarted = random.nextBoolean() ? 1 : 0.2;
     for (int index = 0; index < INSTANCES; index++) {
@@ -320,7 +312,7 @@
   }
 
   @Test
-  void accountBelowItsQuotaIsRefusedLessThanOncePerThousandRequests() {
+  void accountBelowQuotaIsRefusedLessThanOncePerThousandRequests() {
     withinQuota = true;
     double requestsPerSecond = 4_200 / REQUEST_TOKENS;
     ClientAccount account = account(4_200);
@@ -334,11 +326,11 @@
   }
 
   @Test
-  void tokensOfRequestsThatDidNotRunAreReused() {
+  void refundedTokensAreGrantedToOtherRequests() {
     double perSecond = 10 * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
     startFleet(account);
-    unusedShare = 0.5;
+    refundedShare = 0.5;
     traffic(account, 20, 20_000, new Random(5), -1);
     runUntil(now + 21_000);
     assertTrue(grants.size() > 0.9 * 10 * 20, grants.size() + " run");
@@ -353,7 +345,7 @@
         members.values().stream().filter(member -> member.quotas.holds("account")).toList();
     assertEquals(2, holders.size());
     for (Member holder : holders) {
-      holder.quotas.handOver();
+      holder.quotas.transferToNextHolders();
     }
     runUntil(now + 100);
     holders.forEach(holder -> members.remove(holder.self.id()));
@@ -365,7 +357,7 @@
   }
 
   @Test
-  void loweredQuotaHoldsOneWindowAfterAllInstancesHaveIt() {
+  void loweredQuotaIsEnforcedOneWindowAfterAllInstancesKnowIt() {
     ClientAccount before = account(35 * REQUEST_TOKENS);
     startFleet(before);
     ClientAccount after = account(2 * REQUEST_TOKENS);
@@ -379,7 +371,7 @@
   }
 
   @Test
-  void unusedShareOfOneRegionServesTheOtherWithinOneSecond() {
+  void unusedShareOfOneRegionIsAvailableToTheOtherWithinOneSecond() {
     withinQuota = true;
     double perSecond = 10 * REQUEST_TOKENS;
     ClientAccount account = account(perSecond);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectSourceTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectSourceTest.java
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void objectsAndTheirChangesComeFromTheSourceWithoutCallingTheStore() throws Exception {
+  void objectsAndChangesAreReadFromTheRelayWithoutStoreCalls() throws Exception {
     ObjectRelay relay = addSource("one");
     relay.changed(object("a", "first"));
     relay.confirmed();
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void sourceWithoutConfirmedObjectsIsSkipped() throws Exception {
+  void relayWithoutObjectsIsSkipped() throws Exception {
     addSource("one");
     ObjectRelay second = addSource("two");
     second.changed(object("a", "known"));
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void watchEndsWhenItsSourceLosesTheStoreAndTheNextListUsesAnotherSource() throws Exception {
+  void watchEndsWhenItsRelayLosesTheStoreAndTheNextListUsesAnotherRelay() throws Exception {
     ObjectRelay first = addSource("one");
     first.confirmed();
     final ObjectRelay second = addSource("two");
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void storeCallsAreLimitedWhileNoSourceAnswers() throws Exception {
+  void storeReadsAreRateLimitedWhileNoRelayResponds() throws Exception {
     addSource("one");
     assertEquals("7", list().resourceVersion());
     ExecutionException failure = null;
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void storeCallsAreLimitedSeparatelyForEachKind() throws Exception {
+  void storeReadsAreRateLimitedForEachKindSeparately() throws Exception {
     addSource("one");
     assertEquals("7", list().resourceVersion());
     ObjectList configuration =
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void restartedSourceEndsWatchesSoThatObjectsAreListedAgain() throws Exception {
+  void watchEndsWhenItsRelayRestarted() throws Exception {
     ObjectRelay relay = addSource("one");
     relay.confirmed();
     String version = list().resourceVersion();
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void sourceWithoutRecentConfirmationIsSkipped() throws Exception {
+  void relayWithStaleObjectsIsSkipped() throws Exception {
     ObjectRelay first = addSource("one");
     first.changed(object("a", "old"));
     first.confirmed();
--- a/daemon/src/test/java/org/agatefield/daemon/forward/ResponseMemoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ResponseMemoryTest.java
@@ -15,49 +15,48 @@
   private final ResponseMemory memory = new ResponseMemory();
 
   /**
-   * Grows answers in turn until each has been refused more memory; returns the peak of the held
-   * bytes.
+   * Grows the responses in turn until all have been refused more memory; returns the highest total.
    */
-  private long growConcurrently(int answers) {
+  private long growTogether(int answers) {
     List<ResponseMemory.Share> growing = new ArrayList<>();
     for (int number = 0; number < answers; number++) {
       growing.add(memory.share());
     }
-    long peakBytes = 0;
+    long most = 0;
     for (int size = MEBIBYTE; !growing.isEmpty(); size += MEBIBYTE) {
-      int holds = size;
-      growing.removeIf(share -> isRefusedAt(share, holds));
-      peakBytes = Math.max(peakBytes, memory.heldBytes());
+      int requiredBytes = size;
+      growing.removeIf(share -> endsAt(share, requiredBytes));
+      most = Math.max(most, memory.totalBytes());
     }
-    return peakBytes;
+    return most;
   }
 
-  private static boolean isRefusedAt(ResponseMemory.Share share, int holds) {
-    boolean refused = !share.hold(holds);
-    if (refused) {
+  private static boolean endsAt(ResponseMemory.Share share, int requiredBytes) {
+    boolean ends = !share.reserve(requiredBytes);
+    if (ends) {
       share.release();
     }
-    return refused;
+    return ends;
   }
 
   @Test
-  void oneEndlessAnswerIsRefusedMemoryAtItsLimit() {
-    assertTrue(growConcurrently(1) <= 16 * MEBIBYTE);
-    assertEquals(0, memory.heldBytes());
+  void endlessResponseIsRefusedMemoryAtItsLimit() {
+    assertTrue(growTogether(1) <= 16 * MEBIBYTE);
+    assertEquals(0, memory.totalBytes());
   }
 
   @Test
-  void manyEndlessAnswersStayWithinTheTotalLimit() {
-    assertTrue(growConcurrently(100) <= 24L * MEBIBYTE);
-    assertEquals(0, memory.heldBytes());
+  void manyEndlessResponsesStayWithinTheTotalLimit() {
+    assertTrue(growTogether(100) <= 24L * MEBIBYTE);
+    assertEquals(0, memory.totalBytes());
   }
 
   @Test
-  void answersOfUsualSizeFitBesideLargeOnes() {
+  void responsesOfUsualSizeFitBesideLargeOnes() {
     ResponseMemory.Share first = memory.share();
     ResponseMemory.Share second = memory.share();
-    assertTrue(first.hold(15 * MEBIBYTE));
-    assertFalse(second.hold(15 * MEBIBYTE));
-    assertTrue(memory.share().hold(USUAL_BYTES));
+    assertTrue(first.reserve(15 * MEBIBYTE));
+    assertFalse(second.reserve(15 * MEBIBYTE));
+    assertTrue(memory.share().reserve(USUAL_BYTES));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -26,7 +26,7 @@
 class RunnerDirectoryTest {
   private final RunnerDirectory directory = new RunnerDirectory(new TextDialect());
 
-  /** Decodes the states {@code ready} and {@code draining}; any other content is undecodable. */
+  /** Decodes the content {@code ready} or {@code draining}; any other content is invalid. */
   private static final class TextDialect implements StoredObjectDialect {
     @Override
     public String configurationName() {
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void drainingRunnerIsNotUsable() {
+  void drainingRunnerReceivesNoFurtherRequests() {
     directory.changed(entry("a", "ready"));
     assertEquals(1, usable());
     directory.changed(entry("a", "draining"));
@@ -78,37 +78,38 @@
   }
 
   @Test
-  void entryDeletedWhileTheStoreIsAvailableIsRemoved() {
+  void entryDeletedWhileTheStoreRespondsIsRemoved() {
     directory.changed(entry("a", "ready"));
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     assertEquals(0, usable());
   }
 
   @Test
-  void entryDeletedAfterAnOutageOfTheStoreIsUsableUntilTheReturnPeriodEnds() {
+  void entryExpiredDuringStoreOutageRemainsUntilItCouldBeRewritten() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     assertEquals(1, usable());
     long returned = MonotonicClock.milliseconds();
-    directory.dropLapsed(returned + RunnerDirectory.RETURN_MILLISECONDS + 1);
+    directory.removeExpired(returned + RunnerDirectory.RETURN_MILLISECONDS + 1);
     assertEquals(0, usable());
   }
 
   @Test
-  void entryThatReturnsWithinTheReturnPeriodIsKept() {
+  void entryRewrittenInTimeIsRetained() {
     directory.changed(entry("a", "ready"));
     directory.availabilityChanged(false);
     directory.availabilityChanged(true);
     directory.deleted(new ObjectKey(ObjectKind.RUNNER, "a"));
     directory.changed(entry("a", "ready"));
-    directory.dropLapsed(MonotonicClock.milliseconds() + RunnerDirectory.RETURN_MILLISECONDS + 1);
+    directory.removeExpired(
+        MonotonicClock.milliseconds() + RunnerDirectory.RETURN_MILLISECONDS + 1);
     assertEquals(1, usable());
   }
 
   @Test
-  void chosenRunnerThatStartsDrainingIsNotUsable() {
+  void runnerThatStartsToDrainAfterItsSelectionIsNotUsable() {
     RunnerSelector selector =
         new RunnerSelector(
             new FailureDomain("r", "d"),
@@ -126,14 +127,14 @@
   }
 
   @Test
-  void undecodableEntryIsNotUsable() {
+  void runnerWithUnreadableEntryIsNotUsable() {
     directory.changed(entry("a", "ready"));
     directory.changed(entry("a", "resting"));
     assertEquals(0, usable());
   }
 
   @Test
-  void entryFromPeerDoesNotReplaceTheEntryOfTheStore() {
+  void peerEntryDoesNotReplaceStoreEntry() {
     directory.changed(entry("a", "draining"));
     directory.addFromPeer("a", JsonNodeFactory.instance.textNode("ready"), 10);
     assertEquals(0, usable());
