--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/BoundedAdapterLoader.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/BoundedAdapterLoader.java
@@ -25,11 +25,12 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Loads adapters on demand within this instance's share of the weight store's limit.
+ * Loads adapters on demand, limited to this instance's share of the weight store's load limit.
  *
- * <p>Invariants: at most one load of an adapter on a runner is in flight here; no more loads are in
- * flight here than the shared limit divided by the instances alive, rounded down, but at least one.
- * Safe for use by any thread; the one lock is {@code this}, futures are completed outside it.
+ * <p>Invariants: this instance has at most one load of an adapter on a runner in flight. The number
+ * of its loads in flight is at most the shared limit divided by the number of live instances,
+ * rounded down, but at least one. Thread-safe: state is guarded by {@code this}; futures are
+ * completed outside the lock.
  */
 public final class BoundedAdapterLoader implements AdapterLoader {
   private final EngineClient engines;
@@ -38,7 +39,7 @@
   private final InstanceDirectory instances;
   private final Counter loads;
   private final Map<Key, CompletableFuture<Void>> inFlight = new HashMap<>();
-  private final Map<Key, String> loadedSince = new HashMap<>();
+  private final Map<Key, String> bootAtLoad = new HashMap<>();
   private final Deque<Load> waiting = new ArrayDeque<>();
   private int running;
 
@@ -46,7 +47,7 @@
 
   private record Load(Key key, Upstream runner, CompletableFuture<Void> result) {}
 
-  /** Creates a loader that has loaded nothing. */
+  /** Creates a loader without any loaded adapters. */
   public BoundedAdapterLoader(
       EngineClient engines,
       ConfigurationSource configuration,
@@ -76,26 +77,29 @@
       inFlight.put(key, result);
       waiting.add(new Load(key, runner, result));
     }
-    startWaiting();
+    startQueuedLoads();
     return result.copy();
   }
 
-  /** What a load of ours did holds until the engine's reports name the adapter or a new start. */
+  /**
+   * Trusts an own completed load until a report lists the adapter or shows that the engine
+   * restarted.
+   */
   private boolean isLoaded(Key key) {
     Optional<LoadReport> report = replicas.loadReport(key.runner());
     if (report.isPresent() && report.get().adapters().contains(key.adapter())) {
-      loadedSince.remove(key);
+      bootAtLoad.remove(key);
       return true;
     }
     String boot = report.map(LoadReport::bootIdentifier).orElse("");
-    return boot.equals(loadedSince.get(key));
+    return boot.equals(bootAtLoad.get(key));
   }
 
-  private void startWaiting() {
+  private void startQueuedLoads() {
     while (true) {
       Load load;
       synchronized (this) {
-        if (waiting.isEmpty() || running >= share()) {
+        if (waiting.isEmpty() || running >= maximumConcurrentLoads()) {
           return;
         }
         load = waiting.poll();
@@ -105,7 +109,7 @@
     }
   }
 
-  private int share() {
+  private int maximumConcurrentLoads() {
     int limit = configuration.current().weightStore().adapterLoadsInFlight();
     return Math.max(1, limit / Math.max(1, instances.alive().size()));
   }
@@ -114,7 +118,10 @@
     loads.inc();
     Optional<Adapter> adapter = configuration.current().adapter(load.key().adapter());
     if (adapter.isEmpty()) {
-      finish(load, new AgatefieldException(ErrorKind.NOT_FOUND, "the adapter was removed"));
+      finish(
+          load,
+          new AgatefieldException(
+              ErrorKind.NOT_FOUND, "the adapter was removed from the configuration"));
       return;
     }
     EngineOrder order =
@@ -129,7 +136,7 @@
         .whenComplete((result, failure) -> finish(load, failureOf(load, result, failure)));
   }
 
-  /** Nothing of the request was sent, whatever became of the order. */
+  /** Reports run state NO: no byte of the request was sent, whatever the result of the order. */
   private static AgatefieldException failureOf(Load load, OrderResult result, Throwable failure) {
     if (failure == null && result == OrderResult.DONE) {
       return null;
@@ -148,10 +155,10 @@
       if (failure == null) {
         String boot =
             replicas.loadReport(load.key().runner()).map(LoadReport::bootIdentifier).orElse("");
-        loadedSince.put(load.key(), boot);
+        bootAtLoad.put(load.key(), boot);
       }
     }
-    startWaiting();
+    startQueuedLoads();
     if (failure == null) {
       load.result().complete(null);
     } else {
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DecisionLog.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DecisionLog.java
@@ -12,13 +12,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes one log line for each decision and keeps the last decisions.
+ * Logs routing decisions and retains the most recent ones for {@code agatefieldctl explain}.
  *
- * <p>Invariant: keeps at most {@link #KEPT_DECISIONS}, the latest one of each request. Safe for use
- * by any thread.
+ * <p>Invariant: retains at most {@link #MAXIMUM_DECISIONS} decisions, only the latest one of each
+ * request. Thread-safe.
  */
 final class DecisionLog {
-  static final int KEPT_DECISIONS = 2_048;
+  static final int MAXIMUM_DECISIONS = 2_048;
 
   private static final Logger LOGGER = LogManager.getLogger(DecisionLog.class);
 
@@ -28,11 +28,11 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Entry> eldest) {
-          return size() > KEPT_DECISIONS;
+          return size() > MAXIMUM_DECISIONS;
         }
       };
 
-  /** A decision as it is kept; it is only put into words when somebody asks. */
+  /** A retained decision; it is formatted only when it is queried. */
   private record Entry(
       String requestId,
       long milliseconds,
@@ -53,7 +53,7 @@
         upstream,
         candidates.size(),
         choice.reason());
-    keep(
+    store(
         new Entry(
             requestId,
             System.currentTimeMillis(),
@@ -67,7 +67,7 @@
   void refused(String requestId, String target, String reason) {
     LOGGER.info("routing request={} target={} chosen=none {}", requestId, target, reason);
     long milliseconds = System.currentTimeMillis();
-    keep(new Entry(requestId, milliseconds, 0, target, Optional.empty(), List.of(), reason));
+    store(new Entry(requestId, milliseconds, 0, target, Optional.empty(), List.of(), reason));
   }
 
   void ejected(String upstream, DispatchOutcome outcome) {
@@ -80,7 +80,7 @@
     }
   }
 
-  private void keep(Entry entry) {
+  private void store(Entry entry) {
     synchronized (entries) {
       entries.remove(entry.requestId());
       entries.put(entry.requestId(), entry);
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DemandMeter.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DemandMeter.java
@@ -9,18 +9,19 @@
 import org.agatefield.admission.DecayingRate;
 import org.agatefield.model.DemandSample;
 
-/** The recent demand for each deployment at this instance. Confined to the dispatcher's lock. */
+/**
+ * Measures the recent demand for each deployment at this instance. Guarded by the dispatcher's
+ * lock.
+ */
 final class DemandMeter {
   private static final long TIME_CONSTANT_NANOSECONDS = TimeUnit.SECONDS.toNanos(10);
   private static final long RETRY_WINDOW_NANOSECONDS = TimeUnit.SECONDS.toNanos(5);
   private static final int MAXIMUM_REFUSED_REQUESTS = 8_192;
-  private static final double FORGOTTEN_REQUESTS_PER_SECOND = 0.001;
+  private static final double NEGLIGIBLE_REQUESTS_PER_SECOND = 0.001;
 
   private final Map<String, Rates> deployments = new HashMap<>();
 
-  /**
-   * Requests of the last seconds that were refused, so that their retries are not counted again.
-   */
+  /** Time of the latest refusal by request fingerprint; prevents counting retries as new demand. */
   private final LinkedHashMap<String, Long> refusedRequests =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -37,15 +38,15 @@
     private final DecayingRate busySeconds = new DecayingRate(TIME_CONSTANT_NANOSECONDS);
   }
 
-  /** Records a request that was sent to an upstream for the first time. */
+  /** Records the first dispatch of a request to an upstream; retries are not recorded. */
   void admitted(String deployment, long nowNanoseconds) {
     rates(deployment).requests.add(1, nowNanoseconds);
   }
 
   /**
-   * Records a refusal, once for a request and its retries.
+   * Records a refusal; a request and its retries count once.
    *
-   * @param fingerprint the same for retries of a request
+   * @param fingerprint identical for a request and its retries
    */
   void refused(String deployment, String fingerprint, long nowNanoseconds) {
     Long earlier = refusedRequests.put(fingerprint, nowNanoseconds);
@@ -62,13 +63,13 @@
     List<DemandSample> samples = new ArrayList<>(deployments.size());
     deployments.forEach(
         (deployment, rates) -> samples.add(sample(deployment, region, rates, nowNanoseconds)));
-    samples.removeIf(DemandMeter::isForgotten);
+    samples.removeIf(DemandMeter::isNegligible);
     return samples;
   }
 
-  private static boolean isForgotten(DemandSample sample) {
+  private static boolean isNegligible(DemandSample sample) {
     double offered = sample.requestsPerSecond() + sample.refusedPerSecond();
-    return offered < FORGOTTEN_REQUESTS_PER_SECOND;
+    return offered < NEGLIGIBLE_REQUESTS_PER_SECOND;
   }
 
   private static DemandSample sample(
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -26,11 +26,12 @@
 import org.agatefield.routing.UpstreamChooser;
 
 /**
- * Moves requests from the queue to upstreams.
+ * Dispatches queued requests to upstreams.
  *
- * <p>Invariants: each pending request is in the queue, at one upstream, or over; nothing goes to a
- * leaving upstream; attempt numbers rise. Confined to the dispatcher's lock: what completes futures
- * is gathered and run by the dispatcher after it gave the lock back.
+ * <p>Invariants: each pending request is either queued, running on one upstream, or finished; no
+ * request is sent to a leaving upstream; attempt numbers increase. Guarded by the dispatcher's
+ * lock. Completions of futures are collected and run by the dispatcher after it has released the
+ * lock.
  */
 final class DispatchCore {
   private static final Duration NO_UPSTREAM_RETRY_AFTER = Duration.ofSeconds(1);
@@ -74,51 +75,60 @@
     this.listener = listener;
   }
 
-  /** Takes in what changed outside since the last call. */
+  /** Updates the leaving upstreams, the configuration and the replicas. */
   void refresh(Set<String> leavingUpstreams) {
     leaving = leavingUpstreams;
     index.refresh(leavingUpstreams);
   }
 
-  /** Returns what is to be run after the lock was given back, and forgets it. */
-  List<Runnable> takeCompletions() {
+  /** Returns and clears the completions, which the caller runs after releasing the lock. */
+  List<Runnable> drainCompletions() {
     List<Runnable> taken = completions;
     completions = new ArrayList<>();
     return taken;
   }
 
-  /** Lets a request wait, and sends it if an upstream has a place. */
+  /** Queues a request and dispatches it at once if an upstream has free capacity. */
   void admit(PendingRequest pending, long now) {
     if (index.holders(pending.target).isEmpty()) {
-      refuse(pending, ErrorKind.NO_UPSTREAM, "no upstream holds it", NO_UPSTREAM_RETRY_AFTER, now);
+      refuse(
+          pending,
+          ErrorKind.NO_UPSTREAM,
+          "no upstream has it loaded",
+          NO_UPSTREAM_RETRY_AFTER,
+          now);
       return;
     }
     waiting.put(pending.queued.id(), pending);
     Offer offer = queue.offer(pending.queued, now);
     offer.refused().forEach(refusal -> refuse(refusal, now));
     if (offer.queued()) {
-      placeable(pending, now).forEach(candidate -> fill(candidate.upstream(), now));
+      candidatesWithCapacity(pending, now)
+          .forEach(candidate -> dispatchWaiting(candidate.upstream(), now));
     }
   }
 
-  /** Returns whether every upstream that holds what a request needs has failed it. */
+  /** Returns whether every upstream that holds the request's target has failed this request. */
   boolean allHoldersFailed(PendingRequest pending) {
     return index.holders(pending.target).stream()
         .allMatch(holder -> pending.failedUpstreams.contains(holder.upstream().name()));
   }
 
-  /** Forgets a request whose caller has gone. */
+  /** Removes a request from the queue after its caller cancelled it. */
   void cancel(PendingRequest pending) {
     if (queue.cancel(pending.queued.id())) {
       waiting.remove(pending.queued.id());
     }
   }
 
-  /** Refuses what has become too late and sends what has a place by now. */
+  /**
+   * Refuses queued requests that can no longer meet their deadline and dispatches those that fit.
+   */
   void tick(long now) {
     queue.expire(now).forEach(refusal -> refuse(refusal, now));
     for (PendingRequest pending : List.copyOf(oneOfEachTarget().values())) {
-      placeable(pending, now).forEach(candidate -> fill(candidate.upstream(), now));
+      candidatesWithCapacity(pending, now)
+          .forEach(candidate -> dispatchWaiting(candidate.upstream(), now));
     }
   }
 
@@ -127,28 +137,30 @@
     upstreams.firstPart(dispatch.upstream().name(), nanoseconds, now);
   }
 
-  /** Gives the place of an attempt back and sends what waits for it. */
+  /**
+   * Releases the capacity of a finished attempt and dispatches waiting requests to the upstream.
+   */
   void finished(RoutedDispatch dispatch, DispatchOutcome outcome, long now) {
     PendingRequest pending = dispatch.pending();
     String upstream = dispatch.upstream().name();
     long nanoseconds = now - dispatch.sentNanoseconds();
-    double usedShare = upstreams.state(upstream).usedShare(now);
+    double utilization = upstreams.state(upstream).utilization(now);
     queue.finished(pending.target.name());
     if (outcome == DispatchOutcome.SUCCEEDED) {
       queue.measured(pending.target.name(), pending.queued.cost(), nanoseconds, now);
-      stretch.measured(usedShare, nanoseconds / pending.queued.cost());
+      stretch.measured(utilization, nanoseconds / pending.queued.cost());
     }
     if (upstreams.finished(dispatch, outcome, now)) {
       metrics.ejections.inc();
       decisions.ejected(upstream, outcome);
     }
     double runnerSeconds =
-        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.toFullLoad(usedShare);
+        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.toFullLoad(utilization);
     demand.busy(pending.target.deployment(), runnerSeconds, now);
-    fill(upstream, now);
+    dispatchWaiting(upstream, now);
   }
 
-  /** Fails a request before anything of this attempt was sent. */
+  /** Fails a request before any byte of the current attempt was sent. */
   void refuse(
       PendingRequest pending, ErrorKind kind, String reason, Duration retryAfter, long now) {
     waiting.remove(pending.queued.id());
@@ -161,7 +173,7 @@
             ? new AgatefieldException(
                 ErrorKind.UPSTREAM_FAILED,
                 RunState.UNKNOWN,
-                "an attempt failed and there is no other: " + reason,
+                "an attempt failed and no other attempt is possible: " + reason,
                 retryAfter,
                 null)
             : new AgatefieldException(kind, reason, retryAfter);
@@ -176,8 +188,8 @@
     }
   }
 
-  /** Sends waiting requests to an upstream until it has no place or nothing waits for it. */
-  private void fill(String upstream, long now) {
+  /** Dispatches waiting requests to an upstream until it is full or no request can use it. */
+  private void dispatchWaiting(String upstream, long now) {
     boolean sent = true;
     while (sent && queue.size() > 0 && upstreams.state(upstream).hasPlace(now)) {
       sent = sendNext(upstream, now);
@@ -187,7 +199,7 @@
   private boolean sendNext(String upstream, long now) {
     Map<String, List<Candidate>> servable = new LinkedHashMap<>();
     for (Map.Entry<String, PendingRequest> entry : oneOfEachTarget().entrySet()) {
-      List<Candidate> candidates = placeable(entry.getValue(), now);
+      List<Candidate> candidates = candidatesWithCapacity(entry.getValue(), now);
       if (candidates.stream().anyMatch(each -> each.upstream().equals(upstream))) {
         servable.put(entry.getKey(), candidates);
       }
@@ -229,11 +241,14 @@
     metrics.dispatched.inc();
     decisions.chosen(
         pending.requestId, lastAttemptNumber, pending.target.name(), choice, candidates);
-    hand(pending, new RoutedDispatch(listener, pending, lastAttemptNumber, upstream, now));
+    deliver(pending, new RoutedDispatch(listener, pending, lastAttemptNumber, upstream, now));
   }
 
-  /** A caller that went away in the meantime does not take the attempt: its place is given back. */
-  private void hand(PendingRequest pending, RoutedDispatch dispatch) {
+  /**
+   * Delivers the attempt; if the caller has cancelled meanwhile, the attempt's capacity is
+   * released.
+   */
+  private void deliver(PendingRequest pending, RoutedDispatch dispatch) {
     var future = pending.future;
     completions.add(
         () -> {
@@ -243,25 +258,28 @@
         });
   }
 
-  /** Returns the upstreams with a place that a request may go to now. */
-  private List<Candidate> placeable(PendingRequest pending, long now) {
+  /**
+   * Returns the eligible upstreams with free capacity; other regions only if crossing is
+   * worthwhile.
+   */
+  private List<Candidate> candidatesWithCapacity(PendingRequest pending, long now) {
     List<Candidate> eligible =
         upstreams.eligible(
             pending.target, index.holders(pending.target), pending.failedUpstreams, now);
     String region = pending.routing.region();
-    boolean heldHere = false;
+    boolean heldInRegion = false;
     for (Candidate candidate : eligible) {
-      heldHere |= candidate.region().equals(region);
+      heldInRegion |= candidate.region().equals(region);
     }
     boolean mayCross =
-        !heldHere || crossing.isWorth(queue.expectedDrainNanoseconds(pending.target.name()));
-    List<Candidate> placeable = new ArrayList<>(eligible.size());
+        !heldInRegion || crossing.isWorth(queue.expectedDrainNanoseconds(pending.target.name()));
+    List<Candidate> candidatesWithCapacity = new ArrayList<>(eligible.size());
     for (Candidate candidate : eligible) {
       if (candidate.hasPlace() && (mayCross || candidate.region().equals(region))) {
-        placeable.add(candidate);
+        candidatesWithCapacity.add(candidate);
       }
     }
-    return placeable;
+    return candidatesWithCapacity;
   }
 
   private Map<String, PendingRequest> oneOfEachTarget() {
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchMetrics.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchMetrics.java
@@ -6,7 +6,7 @@
 import com.codahale.metrics.Timer;
 import org.agatefield.model.ErrorKind;
 
-/** The metrics of the dispatcher. Safe for use by any thread. */
+/** Holds the dispatcher's metrics. Thread-safe. */
 final class DispatchMetrics {
   private static final String PREFIX = "agatefield.dispatch";
 
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchPolicies.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchPolicies.java
@@ -16,13 +16,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The policies of one dispatcher; none may be shared with another. Immutable.
+ * Groups the policies of a dispatcher. Immutable, but the policies have state: no two dispatchers
+ * may share one.
  *
- * @param chooser creates the choice between upstreams
- * @param shedding which requests are refused
- * @param order which waiting request goes next
- * @param retries how many further attempts are made upstream
- * @param crossing when a request may leave its region although that holds its version
+ * @param chooser creates the policy that chooses between upstreams
+ * @param shedding decides which requests are refused
+ * @param order decides which queued request is dispatched next
+ * @param retries limits retries to upstreams
+ * @param crossing decides when a request is sent to another region although an upstream in its own
+ *     region holds the version
  */
 public record DispatchPolicies(
     Function<PrefixTable, UpstreamChooser> chooser,
@@ -41,7 +43,7 @@
           CROSSING_NANOSECONDS,
           NANOSECONDS_PER_LINK_BYTE);
 
-  /** Returns the policies of a daemon. */
+  /** Returns the policies used in production. */
   public static DispatchPolicies standard(UniformRandomProvider random) {
     return new DispatchPolicies(
         prefixes -> new ExpectedTimeChooser(COSTS, prefixes, random),
@@ -51,17 +53,17 @@
         new CrossingRule(CROSSING_NANOSECONDS));
   }
 
-  /** Returns these policies with another choice between upstreams. */
+  /** Returns a copy with another upstream chooser. */
   public DispatchPolicies withChooser(Function<PrefixTable, UpstreamChooser> newChooser) {
     return new DispatchPolicies(newChooser, shedding, order, retries, crossing);
   }
 
-  /** Returns these policies with others for what is refused and what goes next. */
+  /** Returns a copy with another shedding policy and selection order. */
   public DispatchPolicies withShedding(SheddingPolicy newShedding, SelectionOrder newOrder) {
     return new DispatchPolicies(chooser, newShedding, newOrder, retries, crossing);
   }
 
-  /** Returns these policies with another bound on further attempts. */
+  /** Returns a copy with another retry policy. */
   public DispatchPolicies withRetries(RetryPolicy newRetries) {
     return new DispatchPolicies(chooser, shedding, order, newRetries, crossing);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/HomeEntryDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/HomeEntryDirectory.java
@@ -19,10 +19,10 @@
 import org.agatefield.routing.HomeInstances;
 
 /**
- * Names the home instances of a model, those in the caller's region first.
+ * Returns the home instances of a model as entry addresses, those in the caller's region first.
  *
- * <p>Invariants: never empty; a leaving instance is named only if there is no other. Safe for use
- * by any thread.
+ * <p>Invariants: the result is never empty; a leaving instance is returned only if no other is
+ * live. Thread-safe.
  */
 public final class HomeEntryDirectory implements EntryDirectory {
   private static final int MAXIMUM_ADDRESSES = 4;
@@ -31,13 +31,13 @@
   private final HomeInstances homes;
   private final ToDoubleFunction<String> requestsPerSecond;
   private final Duration timeToLive;
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger rotation = new AtomicInteger();
 
   /**
    * Creates a directory.
    *
-   * @param requestsPerSecond the demand for a model, 0 if it is not known
-   * @param timeToLive how long callers may keep an answer
+   * @param requestsPerSecond returns the demand for a model, 0 if unknown
+   * @param timeToLive how long callers may cache a result
    */
   public HomeEntryDirectory(
       InstanceDirectory instances,
@@ -53,15 +53,15 @@
   @Override
   public EntryAddresses entriesFor(Optional<String> model, Optional<String> region) {
     String wantedRegion = region.orElse(instances.self().failureDomain().region());
-    Map<String, Instance> near = new LinkedHashMap<>();
-    Map<String, Instance> far = new LinkedHashMap<>();
-    for (Instance instance : takingWork()) {
-      boolean here = instance.failureDomain().region().equals(wantedRegion);
-      (here ? near : far).put(instance.id(), instance);
+    Map<String, Instance> local = new LinkedHashMap<>();
+    Map<String, Instance> remote = new LinkedHashMap<>();
+    for (Instance instance : liveInstances()) {
+      boolean isLocal = instance.failureDomain().region().equals(wantedRegion);
+      (isLocal ? local : remote).put(instance.id(), instance);
     }
-    List<Instance> chosen = new ArrayList<>(spread(model, near));
+    List<Instance> chosen = new ArrayList<>(rankedInstances(model, local));
     if (chosen.size() < MAXIMUM_ADDRESSES) {
-      chosen.addAll(spread(model, far));
+      chosen.addAll(rankedInstances(model, remote));
     }
     if (chosen.isEmpty()) {
       chosen.add(instances.self());
@@ -71,13 +71,16 @@
     return new EntryAddresses(addresses, timeToLive);
   }
 
-  private List<Instance> takingWork() {
+  private List<Instance> liveInstances() {
     Collection<Instance> alive = instances.alive();
     return alive.stream().filter(each -> each.state() == InstanceState.LIVE).toList();
   }
 
-  /** The homes come first, rotated so that callers are spread over them; then the others. */
-  private List<Instance> spread(Optional<String> model, Map<String, Instance> candidates) {
+  /**
+   * Returns the home instances first, rotated to spread callers over them, then the other
+   * instances.
+   */
+  private List<Instance> rankedInstances(Optional<String> model, Map<String, Instance> candidates) {
     String name = model.orElse("");
     List<String> ranked = homes.ranked(name, candidates.keySet());
     double demand = model.map(requestsPerSecond::applyAsDouble).orElse(0.0);
@@ -89,7 +92,8 @@
   private List<String> rotate(List<String> ranked, int count) {
     List<String> rotated = new ArrayList<>(ranked);
     if (count > 1) {
-      Collections.rotate(rotated.subList(0, count), Math.floorMod(turn.getAndIncrement(), count));
+      Collections.rotate(
+          rotated.subList(0, count), Math.floorMod(rotation.getAndIncrement(), count));
     }
     return rotated;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/PendingRequest.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/PendingRequest.java
@@ -8,8 +8,8 @@
 import org.agatefield.routing.RoutingRequest;
 
 /**
- * A request from its arrival to its last attempt. Confined to the dispatcher's lock, apart from the
- * future, which is completed outside it.
+ * Tracks a request from its arrival to its last attempt. Guarded by the dispatcher's lock, except
+ * for the future, which is completed outside the lock.
  */
 final class PendingRequest {
   final String requestId;
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RequestFactory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RequestFactory.java
@@ -9,7 +9,7 @@
 import org.agatefield.model.Priority;
 import org.agatefield.routing.RoutingRequest;
 
-/** Turns requests into what admission and routing know of them. Immutable. */
+/** Converts requests to the input of admission and routing. Immutable. */
 final class RequestFactory {
   private static final double PROMPT_TOKENS_PER_COST = 16;
   private static final long BYTES_PER_TOKEN = 6;
@@ -57,7 +57,10 @@
     return new PendingRequest(request.requestId(), request.requestId(), target, routing, queued);
   }
 
-  /** Returns what retries of a request have in common, for versions and demand. */
+  /**
+   * Returns an identifier shared by a request and its retries, used to pick a version and to
+   * measure demand.
+   */
   static String fingerprint(ModelRequest request) {
     List<Long> prefixes = request.prefixHashes();
     String last =
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutedDispatch.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutedDispatch.java
@@ -8,10 +8,10 @@
 import org.agatefield.model.VersionId;
 
 /**
- * An attempt that the dispatcher handed out.
+ * Reports the progress of one attempt to the dispatcher that created it.
  *
- * <p>Invariant: tells its owner of the first part and of the end at most once each. Safe for use by
- * any thread.
+ * <p>Invariant: notifies its listener of the start of the response and of the end of the attempt at
+ * most once each. Thread-safe.
  */
 final class RoutedDispatch implements Dispatch {
   private final Listener listener;
@@ -19,10 +19,10 @@
   private final long attemptNumber;
   private final Upstream upstream;
   private final long sentNanoseconds;
-  private final AtomicBoolean answering = new AtomicBoolean();
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final AtomicBoolean started = new AtomicBoolean();
+  private final AtomicBoolean ended = new AtomicBoolean();
 
-  /** Hears what becomes of attempts. */
+  /** Receives the progress of attempts. */
   interface Listener {
     void responseStarted(RoutedDispatch dispatch);
 
@@ -51,7 +51,7 @@
   }
 
   boolean hasResponseStarted() {
-    return answering.get();
+    return started.get();
   }
 
   @Override
@@ -76,14 +76,14 @@
 
   @Override
   public void responseStarted() {
-    if (answering.compareAndSet(false, true)) {
+    if (started.compareAndSet(false, true)) {
       listener.responseStarted(this);
     }
   }
 
   @Override
   public void finished(DispatchOutcome outcome) {
-    if (over.compareAndSet(false, true)) {
+    if (ended.compareAndSet(false, true)) {
       listener.finished(this, outcome);
     }
   }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingDispatcher.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingDispatcher.java
@@ -32,13 +32,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Admits requests into one queue and sends each to the holder of its version with the least
- * expected time.
+ * Queues requests and dispatches each to the upstream with the lowest expected response time among
+ * those that hold its version.
  *
- * <p>Invariants: each attempt is dispatched, refused or cancelled, exactly one of these; nothing
- * goes to a leaving upstream; attempt numbers rise. Safe for use by any thread. Lock order: {@code
- * lock}, then the locks inside the directories and the decision log; futures are completed after
- * {@code lock} was given back.
+ * <p>Invariants: each attempt is either dispatched, refused or cancelled; no request is sent to a
+ * leaving upstream; attempt numbers increase. Thread-safe. Lock order: {@code lock}, then the locks
+ * of the directories and of the decision log. Futures are completed after {@code lock} is released.
  */
 public final class RoutingDispatcher
     implements Dispatcher, DemandSource, RoutedDispatch.Listener, AutoCloseable {
@@ -61,7 +60,7 @@
   private final Closer closer = new Closer();
   private long lastRequestNumber;
 
-  /** Creates a dispatcher with the standard policies that is driven by a timer of {@code vertx}. */
+  /** Creates a dispatcher with the standard policies, driven by a timer of {@code vertx}. */
   public RoutingDispatcher(
       Vertx vertx,
       ConfigurationSource configuration,
@@ -85,8 +84,8 @@
   }
 
   /**
-   * Creates a dispatcher whose embedding program calls {@link #tick()} and passes time by {@code
-   * clock}, in nanoseconds.
+   * Creates a dispatcher driven by the caller, which calls {@link #tick()} and supplies the time in
+   * nanoseconds by {@code clock}.
    */
   public RoutingDispatcher(
       ConfigurationSource configuration,
@@ -126,7 +125,9 @@
             this);
   }
 
-  /** Refuses what has become too late and sends what has a place by now. */
+  /**
+   * Refuses queued requests that can no longer meet their deadline and dispatches those that fit.
+   */
   public void tick() {
     run(core::tick);
   }
@@ -171,7 +172,7 @@
     return locked(() -> demand.samples(region, clock.getAsLong()));
   }
 
-  /** Returns the last decision about a request, if it is among the last that are kept. */
+  /** Returns the latest decision about a request, if it is still retained. */
   public Optional<RoutingExplanation> explain(String requestId) {
     return decisions.explain(requestId);
   }
@@ -204,14 +205,14 @@
     pending.mayHaveRun |= mayHaveRun(outcome);
     CompletableFuture<Dispatch> future = pending.future;
     if (outcome == DispatchOutcome.UNREACHABLE && core.allHoldersFailed(pending)) {
-      core.refuse(pending, ErrorKind.NO_UPSTREAM, "no upstream answers", RETRY_AFTER, now);
+      core.refuse(pending, ErrorKind.NO_UPSTREAM, "no upstream could be reached", RETRY_AFTER, now);
       return future;
     }
-    boolean continuesAdmittedWork =
+    boolean continuesAdmittedRequest =
         failed.hasResponseStarted() || outcome == DispatchOutcome.UNREACHABLE;
-    if (!continuesAdmittedWork && !retries.mayRetry()) {
+    if (!continuesAdmittedRequest && !retries.mayRetry()) {
       metrics.retriesOverBudget.inc();
-      core.refuse(pending, ErrorKind.OVERLOADED, "the retry budget is spent", RETRY_AFTER, now);
+      core.refuse(pending, ErrorKind.OVERLOADED, "the retry budget is exhausted", RETRY_AFTER, now);
       return future;
     }
     metrics.retried.inc();
@@ -238,34 +239,34 @@
     return CompletableFuture.failedFuture(new AgatefieldException(kind, message));
   }
 
-  /** A step under the lock. */
+  /** Computes a result while the lock is held. */
   @FunctionalInterface
-  private interface Step<T> {
-    T at(long nowNanoseconds);
+  private interface LockedSupplier<T> {
+    T execute(long nowNanoseconds);
   }
 
-  /** A step under the lock without a result. */
+  /** Runs while the lock is held. */
   @FunctionalInterface
-  private interface Action {
-    void at(long nowNanoseconds);
+  private interface LockedAction {
+    void execute(long nowNanoseconds);
   }
 
-  private void run(Action action) {
+  private void run(LockedAction action) {
     supply(
         now -> {
-          action.at(now);
+          action.execute(now);
           return true;
         });
   }
 
-  private <T> T supply(Step<T> step) {
+  private <T> T supply(LockedSupplier<T> step) {
     T result;
     List<Runnable> completions;
     lock.lock();
     try {
       core.refresh(instances.leavingUpstreams());
-      result = step.at(clock.getAsLong());
-      completions = core.takeCompletions();
+      result = step.execute(clock.getAsLong());
+      completions = core.drainCompletions();
     } finally {
       lock.unlock();
     }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingExplanation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/RoutingExplanation.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * Why a request went where it went. Immutable.
+ * Explains a routing decision. Immutable.
  *
- * @param requestId the request
- * @param time when it was decided
+ * @param requestId the request's identifier
+ * @param time when the decision was made
  * @param attempt the number of the attempt; 0 if the request was refused
- * @param target the version or service asked for
+ * @param target the requested version or service
  * @param chosen the upstream; empty if the request was refused
- * @param candidates the upstreams to choose from, with what was known of each
- * @param reason why, as {@code key=value} pairs
+ * @param candidates the upstreams considered, with their known load
+ * @param reason the reason, as {@code key=value} pairs
  */
 public record RoutingExplanation(
     String requestId,
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/Target.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/Target.java
@@ -4,7 +4,8 @@
 import org.agatefield.model.VersionId;
 
 /**
- * What a request needs an upstream to hold. Immutable.
+ * Identifies the version and adapter, or the service, that an upstream must hold to serve a
+ * request. Immutable.
  *
  * @param name the engine name of the version, or {@code service:} and the service's name
  * @param deployment the deployment's or service's name
@@ -24,7 +25,10 @@
     return new Target(SERVICE_PREFIX + service, service, Optional.empty(), Optional.empty());
   }
 
-  /** Requests for different adapters have different holders, so they queue apart. */
+  /**
+   * Includes the adapter: requests for different adapters are served by different upstreams and
+   * need separate queues.
+   */
   private static String queueName(VersionId version, Optional<String> adapter) {
     return adapter.map(name -> version.engineName() + "+" + name).orElse(version.engineName());
   }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/TargetIndex.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/TargetIndex.java
@@ -22,10 +22,11 @@
 import org.agatefield.routing.VersionSplit;
 
 /**
- * Finds what holds a target, without a search through the whole configuration for each request.
+ * Finds the upstreams that hold a target, by indexes instead of a scan of the configuration for
+ * each request.
  *
- * <p>Rebuilt when the configuration or the list of replicas is another object than before. Confined
- * to the dispatcher's lock.
+ * <p>An index is rebuilt when the configuration or the replica list is a different object than
+ * before. Guarded by the dispatcher's lock.
  */
 final class TargetIndex {
   private final ConfigurationSource configurationSource;
@@ -45,7 +46,7 @@
     this.replicaDirectory = replicaDirectory;
   }
 
-  /** Takes in what changed since the last call; leaving upstreams hold nothing from now on. */
+  /** Updates the indexes; leaving upstreams are no longer returned as holders. */
   void refresh(Set<String> leavingUpstreams) {
     leaving = leavingUpstreams;
     refreshConfiguration();
@@ -85,7 +86,7 @@
     return Optional.ofNullable(upstreams.get(name));
   }
 
-  /** Returns the upstreams that hold a target, which a leaving one does not count as. */
+  /** Returns the upstreams that hold a target, without leaving ones. */
   List<Holder> holders(Target target) {
     if (target.version().isEmpty()) {
       return serviceRunners.getOrDefault(target.deployment(), List.of()).stream()
@@ -96,17 +97,17 @@
     List<Holder> found = new ArrayList<>();
     for (Replica replica : holders.getOrDefault(target.version().get(), List.of())) {
       Upstream upstream = upstreams.get(replica.upstream());
-      if (upstream != null && !leaving.contains(upstream.name()) && serves(replica, target)) {
+      if (upstream != null && !leaving.contains(upstream.name()) && hasAdapter(replica, target)) {
         found.add(new Holder(upstream, replica.draining()));
       }
     }
     return found;
   }
 
-  /** An upstream that holds a target. */
+  /** An upstream that holds a target, and whether its replica is draining. */
   record Holder(Upstream upstream, boolean draining) {}
 
-  /** Returns the deployment that a model name means, also where it names an adapter. */
+  /** Returns the deployment for a model name, which names a deployment or an adapter. */
   Optional<Deployment> deploymentOf(String model) {
     Deployment deployment = deployments.get(model);
     if (deployment != null) {
@@ -117,8 +118,8 @@
   }
 
   /**
-   * Returns the target of a request, the version by weight; another version stands in where that
-   * one is held nowhere.
+   * Returns the target of a request. The version is chosen by weight; if no upstream holds it,
+   * another version is used.
    */
   Target target(String model, Deployment deployment, String requestHash) {
     Optional<String> adapter =
@@ -130,12 +131,12 @@
     return targets.stream()
         .filter(target -> !holders(target).isEmpty())
         .findFirst()
-        .or(() -> heldVersion(deployment, adapter))
+        .or(() -> loadedVersion(deployment, adapter))
         .orElse(targets.get(0));
   }
 
-  /** Returns a version that still serves although the configuration gives it no more requests. */
-  private Optional<Target> heldVersion(Deployment deployment, Optional<String> adapter) {
+  /** Returns a version that is still loaded although the configuration assigns it no requests. */
+  private Optional<Target> loadedVersion(Deployment deployment, Optional<String> adapter) {
     return holders.keySet().stream()
         .filter(version -> version.deployment().equals(deployment.name()))
         .map(version -> Target.of(version, adapter))
@@ -143,8 +144,8 @@
         .findFirst();
   }
 
-  /** Returns whether the replica has the version and memory for the adapter. */
-  private static boolean serves(Replica replica, Target target) {
+  /** Returns whether the replica has memory reserved for the target's adapter, if it has one. */
+  private static boolean hasAdapter(Replica replica, Target target) {
     return target.adapter().isEmpty() || replica.adapters().contains(target.adapter().get());
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -8,7 +8,10 @@
 import org.agatefield.routing.Candidate;
 import org.agatefield.routing.RunnerLoad;
 
-/** What this instance knows of one upstream's load. Confined to the dispatcher's lock. */
+/**
+ * Tracks the load and the concurrency limit of one upstream as this instance knows them. Guarded by
+ * the dispatcher's lock.
+ */
 final class UpstreamState {
   private static final int MINIMUM_LIMIT = 1;
   private static final int INITIAL_LIMIT = 32;
@@ -20,7 +23,7 @@
   private LoadReport lastReport;
   private Set<String> loadedAdapters = Set.of();
 
-  /** Takes in a load report; returns whether the engine was started again since the last one. */
+  /** Applies a load report; returns whether the engine has restarted since the previous report. */
   boolean reported(LoadReport report, long nowNanoseconds) {
     if (report == lastReport) {
       return false;
@@ -42,8 +45,8 @@
     load.finished();
   }
 
-  void succeeded(long nanoseconds, double usedOfDeadline, long nowNanoseconds) {
-    limit.succeeded(load.outstanding(nowNanoseconds), usedOfDeadline);
+  void succeeded(long nanoseconds, double deadlineFraction, long nowNanoseconds) {
+    limit.succeeded(load.outstanding(nowNanoseconds), deadlineFraction);
     load.measured(nanoseconds);
   }
 
@@ -55,7 +58,7 @@
     return limit.limit();
   }
 
-  double usedShare(long nowNanoseconds) {
+  double utilization(long nowNanoseconds) {
     return (double) load.outstanding(nowNanoseconds) / limit.limit();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamTable.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamTable.java
@@ -14,7 +14,7 @@
 import org.agatefield.routing.OutlierDetector;
 import org.agatefield.routing.PrefixTable;
 
-/** The load and health of each upstream. Confined to the dispatcher's lock. */
+/** Tracks the load and health of each upstream. Guarded by the dispatcher's lock. */
 final class UpstreamTable {
   private static final long BASE_EJECTION_NANOSECONDS = TimeUnit.SECONDS.toNanos(2);
 
@@ -29,7 +29,7 @@
     this.prefixes = prefixes;
   }
 
-  /** Returns the holders that should get requests for the target, with and without a place. */
+  /** Returns the holders that may serve the target, including those without free capacity. */
   List<Candidate> eligible(
       Target target, List<TargetIndex.Holder> holders, Set<String> failed, long now) {
     List<Candidate> candidates = new ArrayList<>(holders.size());
@@ -48,14 +48,14 @@
     outliers.firstPart(upstream, nanoseconds, now);
   }
 
-  /** Records how an attempt ended; returns whether the upstream is now ejected because of it. */
+  /** Records the outcome of an attempt; returns whether it caused the upstream to be ejected. */
   boolean finished(RoutedDispatch dispatch, DispatchOutcome outcome, long now) {
     String upstream = dispatch.upstream().name();
     UpstreamState state = state(upstream);
     state.finished();
     switch (outcome) {
       case SUCCEEDED:
-        state.succeeded(now - dispatch.sentNanoseconds(), usedOfDeadline(dispatch, now), now);
+        state.succeeded(now - dispatch.sentNanoseconds(), deadlineFraction(dispatch, now), now);
         outliers.succeeded(upstream);
         return false;
       case REJECTED:
@@ -71,7 +71,7 @@
     }
   }
 
-  private static double usedOfDeadline(RoutedDispatch dispatch, long now) {
+  private static double deadlineFraction(RoutedDispatch dispatch, long now) {
     QueuedRequest queued = dispatch.pending().queued;
     long allowed = Math.max(1, queued.deadlineNanoseconds() - queued.arrivalNanoseconds());
     return (double) (now - dispatch.sentNanoseconds()) / allowed;
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** Admits requests, routes them to upstreams and answers which entry instances to use. */
+/** Admits requests, routes them to upstreams and resolves the entry instances that callers use. */
 package org.agatefield.daemon.dispatch;
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/BoundedAdapterLoaderTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/BoundedAdapterLoaderTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 class BoundedAdapterLoaderTest {
-  private static final class OrderRecorder implements EngineClient {
+  private static final class RecordingEngineClient implements EngineClient {
     private final List<CompletableFuture<OrderResult>> orders = new ArrayList<>();
 
     @Override
@@ -48,14 +48,14 @@
     }
   }
 
-  private final OrderRecorder engines = new OrderRecorder();
+  private final RecordingEngineClient engines = new RecordingEngineClient();
 
   private BoundedAdapterLoader loader(DispatchFixture fixture) {
     return new BoundedAdapterLoader(engines, fixture, fixture, fixture, fixture.registry);
   }
 
   @Test
-  void loadsOfOneAdapterOnOneRunnerAreJoined() {
+  void concurrentLoadsOfOneAdapterOnOneRunnerShareOneOrder() {
     try (DispatchFixture fixture = new DispatchFixture(HOME)) {
       BoundedAdapterLoader loader = loader(fixture);
       Upstream runner = fixture.document.upstreams().get(0);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void noMoreLoadsAreInFlightThanTheShareOfTheInstance() {
+  void loadsInFlightAreLimitedToTheInstancesShare() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME, HOME)) {
       BoundedAdapterLoader loader = loader(fixture);
       List<Upstream> runners = fixture.document.upstreams();
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void engineThatStartedAgainIsAskedAgain() {
+  void adapterIsLoadedAgainAfterEngineRestart() {
     try (DispatchFixture fixture = new DispatchFixture(HOME)) {
       BoundedAdapterLoader loader = loader(fixture);
       Upstream runner = fixture.document.upstreams().get(0);
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void refusedLoadFailsAsNotRun() {
+  void refusedLoadFailsWithNoUpstream() {
     try (DispatchFixture fixture = new DispatchFixture(HOME)) {
       Upstream runner = fixture.document.upstreams().get(0);
       CompletableFuture<Void> result = loader(fixture).ensureLoaded(runner, VERSION, "tone");
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/DemandMeterTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/DemandMeterTest.java
@@ -8,7 +8,7 @@
 
 class DemandMeterTest {
   @Test
-  void refusedRequestCountsOnceHoweverOftenItIsRetried() {
+  void retriesOfRefusedRequestCountAsOneRefusal() {
     DemandMeter once = new DemandMeter();
     once.refused("quotes", "request", 0);
     DemandMeter often = new DemandMeter();
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/DispatchFixture.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/DispatchFixture.java
@@ -36,7 +36,10 @@
 import org.agatefield.settings.DaemonSettings;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A dispatcher over directories that a test sets. Confined to the test's thread. */
+/**
+ * Creates a dispatcher whose configuration, replicas and instances are set by the test. Not
+ * thread-safe.
+ */
 final class DispatchFixture
     implements ConfigurationSource,
         ReplicaDirectory,
@@ -59,14 +62,14 @@
 
   DispatchFixture(FailureDomain... runnerDomains) {
     List<Upstream> upstreams = new ArrayList<>();
-    List<Replica> held = new ArrayList<>();
+    List<Replica> loaded = new ArrayList<>();
     for (int number = 0; number < runnerDomains.length; number++) {
       upstreams.add(runner(number, runnerDomains[number]));
-      held.add(replica(number, false));
+      loaded.add(replica(number, false));
     }
     upstreams.add(serviceRunner());
     document = document(upstreams);
-    replicas = held;
+    replicas = loaded;
     alive.add(self);
   }
 
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/HomeEntryDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/HomeEntryDirectoryTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void leavingInstanceIsNotNamed() {
+  void leavingInstanceIsNotReturned() {
     try (DispatchFixture fixture = new DispatchFixture()) {
       fixture.alive.add(instance("old", 2, HOME, InstanceState.LEAVING));
       List<Address> addresses =
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void answerIsNeverEmpty() {
+  void addressesAreNeverEmpty() {
     try (DispatchFixture fixture = new DispatchFixture()) {
       fixture.alive.clear();
       List<Address> addresses =
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void homesOfOneModelTakeTurns() {
+  void homeInstancesOfModelAreRotated() {
     try (DispatchFixture fixture = new DispatchFixture()) {
       for (int port = 2; port <= 8; port++) {
         fixture.alive.add(instance("instance" + port, port, HOME, InstanceState.LIVE));
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/RefusalRunStateTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/RefusalRunStateTest.java
@@ -21,30 +21,30 @@
 class RefusalRunStateTest {
   private static final int STEPS = 200;
 
-  /** A request as the test follows it. */
-  private static final class Followed {
+  /** A request tracked by the test, with its latest attempt. */
+  private static final class TrackedRequest {
     private CompletableFuture<Dispatch> future;
     private boolean mayHaveRun;
-    private boolean over;
+    private boolean ended;
   }
 
   private final Set<Long> attemptNumbers = new HashSet<>();
 
   @Property(tries = 40, seed = "5201")
-  void refusalThatSaysNotRunIsOnlyGivenWhereNothingRan(@ForAll long seed) {
+  void refusalWithRunStateNoMeansThatNoAttemptMayHaveRun(@ForAll long seed) {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     attemptNumbers.clear();
     try (DispatchFixture fixture =
             new DispatchFixture(DispatchFixture.HOME, DispatchFixture.HOME, DispatchFixture.AWAY);
         RoutingDispatcher dispatcher = fixture.dispatcher(5)) {
-      List<Followed> requests = new ArrayList<>();
+      List<TrackedRequest> requests = new ArrayList<>();
       for (int step = 0; step < STEPS; step++) {
-        change(fixture, random);
-        Followed request = new Followed();
+        changeTopology(fixture, random);
+        TrackedRequest request = new TrackedRequest();
         String id = "request" + step;
         request.future = dispatcher.acquire(DispatchFixture.request(id, "quotes"));
         requests.add(request);
-        Followed other = requests.get(random.nextInt(requests.size()));
+        TrackedRequest other = requests.get(random.nextInt(requests.size()));
         advance(dispatcher, other, random);
         requests.forEach(RefusalRunStateTest::check);
       }
@@ -52,7 +52,7 @@
     }
   }
 
-  private static void change(DispatchFixture fixture, UniformRandomProvider random) {
+  private static void changeTopology(DispatchFixture fixture, UniformRandomProvider random) {
     if (random.nextInt(4) == 0) {
       String upstream = "runner" + random.nextInt(3);
       fixture.leaving = random.nextBoolean() ? Set.of(upstream) : Set.of();
@@ -64,17 +64,17 @@
   }
 
   private void advance(
-      RoutingDispatcher dispatcher, Followed request, UniformRandomProvider random) {
+      RoutingDispatcher dispatcher, TrackedRequest request, UniformRandomProvider random) {
     boolean isSent = request.future.isDone() && !request.future.isCompletedExceptionally();
-    if (!isSent || request.over) {
+    if (!isSent || request.ended) {
       return;
     }
     Dispatch dispatch = request.future.join();
-    assertTrue(attemptNumbers.add(dispatch.attemptNumber()), "the attempt number came twice");
+    assertTrue(attemptNumbers.add(dispatch.attemptNumber()), "attempt number used twice");
     DispatchOutcome outcome =
         DispatchOutcome.values()[random.nextInt(DispatchOutcome.values().length)];
     if (outcome == DispatchOutcome.SUCCEEDED || outcome == DispatchOutcome.CANCELLED) {
-      request.over = true;
+      request.ended = true;
       dispatch.finished(outcome);
       return;
     }
@@ -82,7 +82,7 @@
     request.future = dispatcher.reacquire(dispatch, outcome);
   }
 
-  private static void check(Followed request) {
+  private static void check(TrackedRequest request) {
     if (!request.future.isCompletedExceptionally()) {
       return;
     }
@@ -92,6 +92,8 @@
             .handle((found, failure) -> AgatefieldException.from(failure))
             .join()
             .runState();
-    assertFalse(state == RunState.NO && request.mayHaveRun, "said not run after an attempt");
+    assertFalse(
+        state == RunState.NO && request.mayHaveRun,
+        "refusal reports run state NO although an attempt may have run");
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/RoutingDispatcherTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/RoutingDispatcherTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void modelWithoutReplicaIsRefusedAtOnceAsNotRun() {
+  void modelWithoutReplicaIsRefusedImmediatelyWithRunStateNo() {
     try (DispatchFixture fixture = new DispatchFixture(HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       fixture.replicas = List.of();
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void leavingUpstreamGetsNoNewWork() {
+  void leavingUpstreamReceivesNoRequests() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       fixture.leaving = Set.of("runner0");
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void drainingReplicaIsUsedOnlyWhileNothingElseHoldsTheVersion() {
+  void drainingReplicaIsUsedOnlyIfNoOtherReplicaHoldsTheVersion() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       fixture.replicas = List.of(replica(0, true), replica(1, false));
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void requestsWaitForPlaceAndLeaveTheQueueWhenCancelled() {
+  void requestsWaitForCapacityAndLeaveTheQueueWhenCancelled() {
     try (DispatchFixture fixture = new DispatchFixture(HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       List<Dispatch> running = fill(dispatcher);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void fullQueueRefusesAtOnceAsNotRun() {
+  void fullQueueRefusesImmediatelyWithRunStateNo() {
     try (DispatchFixture fixture = new DispatchFixture(HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(1)) {
       fill(dispatcher);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void failedAttemptGoesToAnotherRunnerAndUnknownRunStateIsKept() {
+  void failedAttemptIsRetriedOnAnotherRunnerAndRunStateStaysUnknown() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       Dispatch first = dispatcher.acquire(request("1", "quotes")).join();
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void answersThatHadBegunGoOnElsewhereHoweverManyOneRunnerTookWithIt() {
+  void startedResponsesContinueOnAnotherRunnerRegardlessOfRetryBudget() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(100)) {
       List<Dispatch> running = new ArrayList<>();
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void unreachableRunnersAreEachTriedOnceAndTheRefusalSaysNotRun() {
+  void unreachableRunnersAreTriedOnceEachAndRefusalHasRunStateNo() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       Dispatch first = dispatcher.acquire(request("1", "quotes")).join();
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void requestStaysInItsRegionWhileThereIsPlace() {
+  void requestStaysInItsRegionWhileCapacityIsFree() {
     try (DispatchFixture fixture = new DispatchFixture(AWAY, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       for (int number = 0; number < 20; number++) {
@@ -176,7 +176,7 @@
   }
 
   @Test
-  void loadOfOthersIsSeenThroughTheReports() {
+  void loadFromOtherInstancesIsTakenFromReports() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       fixture.reports.put("runner0", report("boot", 20, 0));
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void adapterRequestNamesItsAdapterAndPrefersTheRunnerThatLoadedIt() {
+  void adapterRequestIsDispatchedWithItsAdapterToRunnerThatHasItLoaded() {
     try (DispatchFixture fixture = new DispatchFixture(HOME, HOME);
         RoutingDispatcher dispatcher = fixture.dispatcher(10)) {
       fixture.reports.put("runner1", report("boot", 0, 0, "tone"));
