--- a/daemon/src/main/java/org/agatefield/daemon/calls/CallContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/CallContext.java
@@ -4,12 +4,12 @@
 import org.agatefield.daemon.core.FailPointHook;
 import org.agatefield.daemon.core.InvariantMonitor;
 
-/** What all executions of an instance share. Immutable. */
+/** Groups the collaborators shared by all executions of an instance. Immutable. */
 record CallContext(
     Vertx vertx,
     ClaimStore claims,
     ClaimRemover remover,
-    HolderStateEvaluator holders,
+    HolderStateEvaluator holderStates,
     OutcomeQuery outcomes,
     FailPointHook hook,
     InvariantMonitor monitor) {}
--- a/daemon/src/main/java/org/agatefield/daemon/calls/CallLimits.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/CallLimits.java
@@ -4,14 +4,14 @@
 import org.agatefield.idempotency.RetentionPolicy;
 
 /**
- * Bounds of calls that must not repeat. Immutable.
+ * Defines the time limits of non-repeatable calls. Immutable.
  *
- * @param retention how long outcomes are kept at least
- * @param clockSkew how far wall clocks of instances may differ
- * @param joinLimit how long a retry waits for an execution at another instance
+ * @param retention minimum time for which outcomes are retained
+ * @param clockSkew maximum difference between the wall clocks of instances
+ * @param joinLimit maximum time that a retry waits for an execution at another instance
  * @param holderGrace how long after a service's timeout, or after a holder was last seen alive, its
- *     call is still taken to be running
- * @param lateEffectWindow how long a create without an answer is watched for taking effect
+ *     call is still considered running
+ * @param lateEffectWindow how long a create without a response is checked for a late effect
  */
 public record CallLimits(
     Duration retention,
@@ -19,7 +19,7 @@
     Duration joinLimit,
     Duration holderGrace,
     Duration lateEffectWindow) {
-  /** Returns the usual limits with a retention. */
+  /** Returns the default limits with the given retention. */
   public static CallLimits withRetention(Duration retention) {
     return new CallLimits(
         retention,
@@ -29,7 +29,7 @@
         Duration.ofMinutes(10));
   }
 
-  /** Returns the rules for how long claims are kept. */
+  /** Returns the policy for the retention of claims. */
   RetentionPolicy retentionPolicy() {
     return new RetentionPolicy(retention.toMillis(), clockSkew.toMillis());
   }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimCodec.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimCodec.java
@@ -14,8 +14,8 @@
 import org.agatefield.idempotency.Claim;
 
 /**
- * Translates claims to and from the content of objects. A body is written in base64, in the claim
- * itself or in parts. Stateless and safe for use by any thread.
+ * Converts claims to and from the content of stored objects. A response body is base64-encoded,
+ * either in the claim itself or in separate part objects. Stateless.
  */
 final class ClaimCodec {
   static final String KEEP_UNTIL = "keepUntilMilliseconds";
@@ -38,14 +38,16 @@
         .put(KEEP_UNTIL, claim.keepUntilMilliseconds());
   }
 
-  /** Returns the content of a claim whose outcome is lost. */
+  /** Returns the content of a claim whose outcome cannot be determined. */
   static ObjectNode encodeLost(Claim<ServiceResponse> claim) {
     ObjectNode content = encode(claim);
     content.putObject("outcome").put("state", "LOST");
     return content;
   }
 
-  /** Returns the content of a claim with an answer, whose body lies in parts if there are any. */
+  /**
+   * Returns the content of a claim with a response. The body is left out if it is stored in parts.
+   */
   static ObjectNode encodeAnswered(
       Claim<ServiceResponse> claim, ServiceResponse answer, int parts) {
     ObjectNode content = encode(claim);
@@ -63,7 +65,7 @@
     return content;
   }
 
-  /** Returns the content of a part of a body. */
+  /** Returns the content of one body part. */
   static ObjectNode encodePart(Claim<ServiceResponse> claim, Buffer part) {
     return JsonNodeFactory.instance
         .objectNode()
@@ -72,29 +74,29 @@
         .put(BODY, part.getBytes());
   }
 
-  /** Returns the attempt that wrote a claim. */
+  /** Returns the identifier of the attempt that wrote a claim. */
   static String attemptOf(JsonNode content) {
     return content.path(ATTEMPT).asText();
   }
 
-  /** Returns the number of parts that the body of a claim's answer lies in. */
+  /** Returns the number of parts that hold the response body; 0 if the claim holds it. */
   static int partsOf(JsonNode content) {
     return content.path("outcome").path(PARTS).asInt();
   }
 
-  /** Returns the bytes of a body or a part of one. */
+  /** Decodes a body or a body part. */
   static Buffer bodyOf(JsonNode node) {
     try {
       return Buffer.buffer(node.path(BODY).binaryValue());
     } catch (IOException exception) {
-      throw new UncheckedIOException("a recorded body is not base64", exception);
+      throw new UncheckedIOException("a recorded response body is not valid base64", exception);
     }
   }
 
   /**
-   * Reads a claim.
+   * Decodes a claim.
    *
-   * @param parts the joined parts of the body; empty if it lies in the claim
+   * @param parts the concatenated body parts; empty if the claim holds the body
    */
   static Claim<ServiceResponse> decode(JsonNode content, Optional<Buffer> parts) {
     return new Claim<>(
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -31,20 +31,20 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Carries out the decisions of {@link ClaimProtocol} for one arrival of a call.
+ * Executes the decisions of {@link ClaimProtocol} for one arrival of a call.
  *
- * <p>Invariant: one step is awaited at a time, so that events come one after another; {@link
- * #state} and the other fields are guarded by the object's lock, which is not held while actions
- * run. The reply completes once.
+ * <p>Invariants: at most one asynchronous step is pending, so events are processed sequentially;
+ * the reply completes once. {@link #state} and the other mutable fields are guarded by the object's
+ * lock, which is not held while actions run.
  */
 final class ClaimExecution {
   private static final Logger LOGGER = LogManager.getLogger(ClaimExecution.class);
-  private static final Duration FIRST_POLL_DELAY = Duration.ofMillis(20);
-  private static final Duration LONGEST_POLL_DELAY = Duration.ofMillis(500);
-  private static final long SHORTEST_RETRY_AFTER_MILLISECONDS = 500;
-  private static final long LONGEST_RETRY_AFTER_MILLISECONDS = 2_000;
+  private static final Duration INITIAL_POLL_DELAY = Duration.ofMillis(20);
+  private static final Duration MAXIMUM_POLL_DELAY = Duration.ofMillis(500);
+  private static final long MINIMUM_RETRY_AFTER_MILLISECONDS = 500;
+  private static final long MAXIMUM_RETRY_AFTER_MILLISECONDS = 2_000;
 
-  private final CallContext parts;
+  private final CallContext context;
   private final NonRepeatableCall call;
   private final ServiceRequest request;
   private final Dispatcher dispatcher;
@@ -52,19 +52,19 @@
   private final String name;
   private final Arrival arrival;
   private final Claim<ServiceResponse> claim;
-  private final Consumer<ClaimExecution> over;
+  private final Consumer<ClaimExecution> onEnd;
   private final ClaimProtocol<ServiceResponse> protocol = new ClaimProtocol<>();
   private final CompletableFuture<ServiceResponse> reply = new CompletableFuture<>();
-  private final Backoff polls = new Backoff(FIRST_POLL_DELAY, LONGEST_POLL_DELAY);
+  private final Backoff polls = new Backoff(INITIAL_POLL_DELAY, MAXIMUM_POLL_DELAY);
   private final AtomicInteger permittedSends = new AtomicInteger(1);
   private ClaimState<ServiceResponse> state = ClaimState.arrived();
   private Optional<Dispatch> dispatch = Optional.empty();
   private Optional<StoredClaim> lastRead = Optional.empty();
-  private Optional<StoredClaim> own = Optional.empty();
+  private Optional<StoredClaim> ownClaim = Optional.empty();
   private boolean createUnknown;
 
   ClaimExecution(
-      CallContext parts,
+      CallContext context,
       NonRepeatableCall call,
       ServiceRequest request,
       Dispatcher dispatcher,
@@ -72,8 +72,8 @@
       String name,
       Arrival arrival,
       Claim<ServiceResponse> claim,
-      Consumer<ClaimExecution> over) {
-    this.parts = parts;
+      Consumer<ClaimExecution> onEnd) {
+    this.context = context;
     this.call = call;
     this.request = request;
     this.dispatcher = dispatcher;
@@ -81,19 +81,19 @@
     this.name = name;
     this.arrival = arrival;
     this.claim = claim;
-    this.over = over;
+    this.onEnd = onEnd;
   }
 
   String bodyHash() {
     return arrival.bodyHash();
   }
 
-  /** Returns the answer to the caller. */
+  /** Returns the future reply to the caller. */
   CompletableFuture<ServiceResponse> reply() {
     return reply;
   }
 
-  /** Returns whether a claim of this arrival may be in the store without its outcome. */
+  /** Returns whether the store may contain this arrival's claim without an outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
       case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, ASKING_FOR_OWN, RECORDING -> true;
@@ -103,59 +103,62 @@
 
   void start() {
     try {
-      carryOut(protocol.begin());
+      execute(protocol.begin());
     } catch (RuntimeException fault) {
       fail(fault);
     }
   }
 
-  private void feed(ClaimEvent<ServiceResponse> event) {
+  private void process(ClaimEvent<ServiceResponse> event) {
     try {
       ClaimStep<ServiceResponse> step;
       synchronized (this) {
         step = protocol.next(state, event, arrival, System.nanoTime());
         state = step.state();
       }
-      carryOut(step);
+      execute(step);
     } catch (RuntimeException fault) {
       fail(fault);
     }
   }
 
   /**
-   * Carries a step out. An arrival that is over is forgotten before its caller is answered, so that
-   * a retry that follows the answer does not join it.
+   * Executes a step. A finished arrival is deregistered before its caller gets the reply, so that a
+   * retry sent after the reply does not join it.
    */
-  private void carryOut(ClaimStep<ServiceResponse> step) {
+  private void execute(ClaimStep<ServiceResponse> step) {
     boolean ends = step.state().phase() == ClaimState.Phase.DONE;
     for (ClaimAction<ServiceResponse> action : step.actions()) {
-      if (ends && isAnswer(action)) {
-        over.accept(this);
+      if (ends && isReply(action)) {
+        onEnd.accept(this);
       }
       perform(action);
     }
     if (ends) {
-      over.accept(this);
+      onEnd.accept(this);
     }
   }
 
-  private static boolean isAnswer(ClaimAction<ServiceResponse> action) {
+  private static boolean isReply(ClaimAction<ServiceResponse> action) {
     return action instanceof ClaimAction.Reply
         || action instanceof ClaimAction.Refuse
         || action instanceof ClaimAction.RefuseWith;
   }
 
-  /** Gives the arrival up after a fault; a claim stays, so that the call is never run again. */
+  /**
+   * Fails the arrival after an unexpected exception. A claim stays, so the call is never executed
+   * again.
+   */
   private void fail(RuntimeException fault) {
-    LOGGER.error("fault in a call that must not repeat request={}", call.requestId(), fault);
+    LOGGER.error("unexpected failure of a non-repeatable call request={}", call.requestId(), fault);
     finishDispatch(DispatchOutcome.FAILED);
     reply.completeExceptionally(AgatefieldException.from(fault));
-    over.accept(this);
+    onEnd.accept(this);
   }
 
   private void perform(ClaimAction<ServiceResponse> action) {
     if (action instanceof ClaimAction.Read) {
-      parts.claims().read(name).whenComplete(this::readCompleted);
+      context.claims().read(name).whenComplete(this::readCompleted);
     } else if (action instanceof ClaimAction.Acquire) {
       dispatcher.acquire(request).whenComplete(this::acquired);
     } else if (action instanceof ClaimAction.Reacquire) {
@@ -169,26 +172,28 @@
     } else if (action instanceof ClaimAction.Send) {
       send();
     } else if (action instanceof ClaimAction.PollLater) {
-      parts.vertx().setTimer(polls.nextMilliseconds(), fired -> feed(new ClaimEvent.PollDue<>()));
+      context
+          .vertx()
+          .setTimer(polls.nextMilliseconds(), fired -> process(new ClaimEvent.PollDue<>()));
     } else if (action instanceof ClaimAction.AskService) {
-      parts.outcomes().ask(call).whenComplete(this::asked);
+      context.outcomes().ask(call).whenComplete(this::outcomeQueried);
     } else {
-      performEnd(action);
+      performFinal(action);
     }
   }
 
-  private void performEnd(ClaimAction<ServiceResponse> action) {
+  private void performFinal(ClaimAction<ServiceResponse> action) {
     if (action instanceof ClaimAction.Record<ServiceResponse> write) {
       recordOutcome(write.outcome());
     } else if (action instanceof ClaimAction.RecordFor<ServiceResponse> write) {
       recordFor(write);
     } else if (action instanceof ClaimAction.Remove) {
-      parts.remover().remove(name, arrival.attemptId(), createUnknown);
+      context.remover().remove(name, arrival.attemptId(), createUnknown);
     } else if (action instanceof ClaimAction.RemoveFound) {
-      parts
+      context
           .remover()
           .<ServiceResponse>removeFound(lastRead.orElseThrow().object())
-          .thenAccept(this::feed);
+          .thenAccept(this::process);
     } else if (action instanceof ClaimAction.Reply<ServiceResponse> answer) {
       reply.complete(answer.answer());
     } else if (action instanceof ClaimAction.Refuse<ServiceResponse> refusal) {
@@ -200,32 +205,32 @@
 
   private void readCompleted(Optional<StoredClaim> found, Throwable failure) {
     if (failure != null) {
-      feed(new ClaimEvent.ReadFailed<>());
+      process(new ClaimEvent.ReadFailed<>());
       return;
     }
     if (found.isEmpty()) {
-      feed(new ClaimEvent.Absent<>());
+      process(new ClaimEvent.Absent<>());
       return;
     }
     Claim<ServiceResponse> seen = found.get().claim();
     synchronized (this) {
       lastRead = found;
       if (seen.attemptId().equals(arrival.attemptId())) {
-        own = found;
+        ownClaim = found;
       }
     }
-    feed(new ClaimEvent.Found<>(seen, parts.holders().stateOf(seen)));
+    process(new ClaimEvent.Found<>(seen, context.holderStates().stateOf(seen)));
   }
 
   private void acquired(Dispatch chosen, Throwable failure) {
     if (failure != null) {
-      feed(new ClaimEvent.AcquireFailed<>(failure));
+      process(new ClaimEvent.AcquireFailed<>(failure));
       return;
     }
     synchronized (this) {
       dispatch = Optional.of(chosen);
     }
-    feed(new ClaimEvent.Acquired<>());
+    process(new ClaimEvent.Acquired<>());
   }
 
   private void reacquire() {
@@ -238,47 +243,52 @@
   }
 
   private void create() {
-    parts.hook().reached(FailPoint.BEFORE_CLAIM, call.key());
-    parts.claims().create(name, claim).whenComplete(this::created);
+    context.hook().reached(FailPoint.BEFORE_CLAIM, call.key());
+    context.claims().create(name, claim).whenComplete(this::created);
   }
 
   private void created(StoredClaim stored, Throwable failure) {
     if (failure == null) {
       synchronized (this) {
-        own = Optional.of(stored);
+        ownClaim = Optional.of(stored);
       }
-      feed(new ClaimEvent.Created<>());
+      process(new ClaimEvent.Created<>());
       return;
     }
     StoreFailure known = StoreException.failureOf(failure).orElse(StoreFailure.UNKNOWN_RESULT);
     switch (known) {
-      case ALREADY_EXISTS -> feed(new ClaimEvent.CreateRejected<>());
+      case ALREADY_EXISTS -> process(new ClaimEvent.CreateRejected<>());
       case UNKNOWN_RESULT -> {
         synchronized (this) {
           createUnknown = true;
         }
-        feed(new ClaimEvent.CreateUnknown<>());
+        process(new ClaimEvent.CreateUnknown<>());
       }
-      default -> feed(new ClaimEvent.CreateRefused<>());
+      default -> process(new ClaimEvent.CreateRefused<>());
     }
   }
 
   private void resume() {
-    parts.hook().reached(FailPoint.AFTER_CLAIM, call.key());
-    feed(new ClaimEvent.Resumed<>());
+    context.hook().reached(FailPoint.AFTER_CLAIM, call.key());
+    process(new ClaimEvent.Resumed<>());
   }
 
   private void send() {
-    boolean abandoned = parts.remover().isAbandoned(arrival.attemptId());
+    boolean abandoned = context.remover().isAbandoned(arrival.attemptId());
     boolean permitted = permittedSends.getAndDecrement() > 0 && !abandoned;
-    parts
+    context
         .monitor()
         .check(
             InvariantMonitor.Invariant.AT_MOST_ONCE,
             permitted,
-            () -> "send of attempt " + arrival.attemptId() + " that is over, key " + call.key());
+            () ->
+                "send of attempt "
+                    + arrival.attemptId()
+                    + " that was already sent or abandoned, key "
+                    + call.key());
     if (!permitted) {
-      throw new IllegalStateException("send of attempt " + arrival.attemptId() + " that is over");
+      throw new IllegalStateException(
+          "send of attempt " + arrival.attemptId() + " that was already sent or abandoned");
     }
     Dispatch chosen = dispatch.orElseThrow();
     LOGGER.info(
@@ -289,49 +299,52 @@
         name,
         arrival.attemptId());
     sender.send(chosen.upstream().address()).whenComplete(this::sent);
-    parts.hook().reached(FailPoint.AFTER_SEND, call.key());
+    context.hook().reached(FailPoint.AFTER_SEND, call.key());
   }
 
   private void sent(ServiceResponse answer, Throwable failure) {
     if (failure == null) {
       finishDispatch(DispatchOutcome.SUCCEEDED);
-      feed(new ClaimEvent.Answered<>(answer));
+      process(new ClaimEvent.Answered<>(answer));
       return;
     }
     AgatefieldException error = AgatefieldException.from(failure);
     if (error.runState() == RunState.NO) {
       permittedSends.incrementAndGet();
     } else {
-      boolean late = error.kind() == ErrorKind.DEADLINE_EXCEEDED;
-      finishDispatch(late ? DispatchOutcome.TIMED_OUT : DispatchOutcome.FAILED);
+      boolean timedOut = error.kind() == ErrorKind.DEADLINE_EXCEEDED;
+      finishDispatch(timedOut ? DispatchOutcome.TIMED_OUT : DispatchOutcome.FAILED);
     }
-    feed(new ClaimEvent.SendFailed<>(error.runState(), error));
+    process(new ClaimEvent.SendFailed<>(error.runState(), error));
   }
 
-  private void asked(Optional<ServiceResponse> answer, Throwable failure) {
+  private void outcomeQueried(Optional<ServiceResponse> answer, Throwable failure) {
     if (failure == null && answer.isPresent()) {
-      feed(new ClaimEvent.OutcomeLearnt<>(answer.get()));
+      process(new ClaimEvent.OutcomeLearnt<>(answer.get()));
     } else {
-      feed(new ClaimEvent.OutcomeNotLearnt<>());
+      process(new ClaimEvent.OutcomeNotLearnt<>());
     }
   }
 
   private void recordOutcome(Claim.Outcome<ServiceResponse> outcome) {
-    parts.hook().reached(FailPoint.BEFORE_OUTCOME, call.key());
+    context.hook().reached(FailPoint.BEFORE_OUTCOME, call.key());
     new OutcomeRecorder(
-            parts.vertx(), parts.claims(), parts.monitor(), () -> feed(new ClaimEvent.Recorded<>()))
-        .start(own.orElseThrow(), outcome);
+            context.vertx(),
+            context.claims(),
+            context.monitor(),
+            () -> process(new ClaimEvent.Recorded<>()))
+        .start(ownClaim.orElseThrow(), outcome);
   }
 
   private void recordFor(ClaimAction.RecordFor<ServiceResponse> write) {
     Claim.Outcome<ServiceResponse> outcome = new Claim.Outcome<>(Optional.of(write.answer()));
-    parts.claims().record(lastRead.orElseThrow(), outcome, arrival.attemptId());
+    context.claims().record(lastRead.orElseThrow(), outcome, arrival.attemptId());
   }
 
   private void refuse(ClaimAction.Refuse<ServiceResponse> refusal) {
     long delay =
         ThreadLocalRandom.current()
-            .nextLong(SHORTEST_RETRY_AFTER_MILLISECONDS, LONGEST_RETRY_AFTER_MILLISECONDS);
+            .nextLong(MINIMUM_RETRY_AFTER_MILLISECONDS, MAXIMUM_RETRY_AFTER_MILLISECONDS);
     reply.completeExceptionally(
         new AgatefieldException(
             refusal.kind(), refusal.runState(), refusal.reason(), Duration.ofMillis(delay), null));
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimRemover.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimRemover.java
@@ -15,16 +15,16 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Removes claims of this process that it has not sent for and never will, also those whose create
- * takes effect late.
+ * Removes claims of this process whose call was not sent and never will be, including claims whose
+ * create takes effect late.
  *
- * <p>Invariant: an attempt is only handed over here after the process has decided for good not to
- * send for it. Safe for use by any thread.
+ * <p>Invariant: an attempt is passed to this class only after the process has irrevocably decided
+ * not to send its call. Thread-safe.
  */
 final class ClaimRemover implements AutoCloseable {
   private static final Logger LOGGER = LogManager.getLogger(ClaimRemover.class);
-  private static final Duration FIRST_DELAY = Duration.ofMillis(100);
-  private static final Duration LONGEST_DELAY = Duration.ofSeconds(10);
+  private static final Duration INITIAL_DELAY = Duration.ofMillis(100);
+  private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(10);
   private static final long NANOSECONDS_PER_MILLISECOND = 1_000_000;
 
   private final Vertx vertx;
@@ -33,7 +33,9 @@
   private final Map<String, Removal> removals = new ConcurrentHashMap<>();
   private volatile boolean closed;
 
-  /** One claim to remove. Its backoff is used by one try at a time. */
+  /**
+   * A claim to remove. Removal is retried sequentially, so the backoff needs no synchronization.
+   */
   private record Removal(
       String name, String attemptId, boolean mayAppearLate, long startedAt, Backoff backoff) {}
 
@@ -44,7 +46,7 @@
   }
 
   /**
-   * Removes a claim, now or when it comes to be in the store.
+   * Removes a claim, at once or when it appears in the store.
    *
    * @param mayAppearLate whether the result of its create is unknown
    */
@@ -55,31 +57,32 @@
             attemptId,
             mayAppearLate,
             System.nanoTime(),
-            new Backoff(FIRST_DELAY, LONGEST_DELAY));
+            new Backoff(INITIAL_DELAY, MAXIMUM_DELAY));
     if (removals.putIfAbsent(attemptId, removal) == null) {
       tryRemove(removal);
     }
   }
 
   /**
-   * Returns whether it is certain that this process has not sent for the attempt and never will.
+   * Returns whether the claim is being removed: this process has not sent the attempt's call and
+   * never will.
    */
   boolean isAbandoned(String attemptId) {
     return removals.containsKey(attemptId);
   }
 
-  /** Returns the number of claims that are not known to be removed. */
+  /** Returns the number of claims whose removal is not confirmed. */
   int size() {
     return removals.size();
   }
 
-  /** Removes an abandoned claim that was just read. */
+  /** Removes an abandoned claim, if it has not changed since it was read. */
   <A> CompletableFuture<ClaimEvent<A>> removeFound(StoredObject object) {
     return claims
         .delete(object)
         .handle(
             (done, failure) ->
-                failure == null || isOvertaken(failure)
+                failure == null || isSuperseded(failure)
                     ? new ClaimEvent.Removed<>()
                     : new ClaimEvent.RemoveFailed<>());
   }
@@ -109,14 +112,14 @@
             .filter(removal.attemptId()::equals)
             .isPresent();
     if (!present) {
-      finishOrWatch(removal);
+      finishOrRetry(removal);
       return;
     }
     claims.delete(found.get()).whenComplete((done, error) -> deleted(removal, error));
   }
 
   private void deleted(Removal removal, Throwable failure) {
-    if (failure != null && !isOvertaken(failure)) {
+    if (failure != null && !isSuperseded(failure)) {
       retry(removal);
       return;
     }
@@ -124,9 +127,10 @@
     removals.remove(removal.attemptId());
   }
 
-  private void finishOrWatch(Removal removal) {
-    long watched = (System.nanoTime() - removal.startedAt()) / NANOSECONDS_PER_MILLISECOND;
-    if (!removal.mayAppearLate() || watched > lateEffectWindow.toMillis()) {
+  private void finishOrRetry(Removal removal) {
+    long elapsedMilliseconds =
+        (System.nanoTime() - removal.startedAt()) / NANOSECONDS_PER_MILLISECOND;
+    if (!removal.mayAppearLate() || elapsedMilliseconds > lateEffectWindow.toMillis()) {
       removals.remove(removal.attemptId());
       return;
     }
@@ -139,7 +143,7 @@
     }
   }
 
-  private static boolean isOvertaken(Throwable failure) {
+  private static boolean isSuperseded(Throwable failure) {
     Optional<StoreFailure> known = StoreException.failureOf(failure);
     return known.equals(Optional.of(StoreFailure.NOT_FOUND))
         || known.equals(Optional.of(StoreFailure.CONFLICT));
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimStore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimStore.java
@@ -14,28 +14,28 @@
 import org.agatefield.store.StoredObject;
 
 /**
- * Claims as objects of the store.
+ * Reads and writes claims as objects of the store.
  *
- * <p>An answer's body of up to half a megabyte lies in the claim; a larger one lies in parts, which
- * are written before the claim says that it is answered. Safe for use by any thread.
+ * <p>A response body of up to half a megabyte is stored in the claim. A larger one is stored in
+ * parts, which are written before the claim is marked as answered. Thread-safe.
  */
 final class ClaimStore {
   private static final int PART_BYTES = 512 * 1024;
 
   private final ObjectStore store;
-  private final ObjectStore resolving;
+  private final ObjectStore resolvingStore;
 
   ClaimStore(ObjectStore store) {
     this.store = store;
-    this.resolving = new ResolvingObjectStore(store);
+    this.resolvingStore = new ResolvingObjectStore(store);
   }
 
-  /** Reads a claim with its whole answer; empty if there is none. */
+  /** Reads a claim with its complete response; empty if the claim does not exist. */
   CompletableFuture<Optional<StoredClaim>> read(String name) {
     return readObject(name).thenCompose(this::readAnswer);
   }
 
-  /** Reads the object of a claim; empty if there is none. */
+  /** Reads the object of a claim; empty if it does not exist. */
   CompletableFuture<Optional<StoredObject>> readObject(String name) {
     return store
         .get(key(name))
@@ -47,34 +47,35 @@
                     : CompletableFuture.failedFuture(failure));
   }
 
-  /** Creates a claim; an unknown result is not resolved here, the protocol does that. */
+  /** Creates a claim. An unknown result is resolved by the protocol, not here. */
   CompletableFuture<StoredClaim> create(String name, Claim<ServiceResponse> claim) {
     return store
         .create(key(name), claim.attemptId(), ClaimCodec.encode(claim))
         .thenApply(object -> new StoredClaim(object, claim));
   }
 
-  /** Writes the outcome into a claim, if it is still as it was read. */
+  /** Writes the outcome into a claim, if it has not changed since it was read. */
   CompletableFuture<StoredObject> record(
       StoredClaim previous, Claim.Outcome<ServiceResponse> outcome, String writeIdentifier) {
     Claim<ServiceResponse> claim = previous.claim();
     if (outcome.answer().isEmpty()) {
-      return resolving.update(previous.object(), writeIdentifier, ClaimCodec.encodeLost(claim));
+      return resolvingStore.update(
+          previous.object(), writeIdentifier, ClaimCodec.encodeLost(claim));
     }
     ServiceResponse answer = outcome.answer().get();
     int parts = answer.body().length() <= PART_BYTES ? 0 : partCount(answer.body());
     return writeParts(previous, answer.body(), 0, parts)
         .thenCompose(
             written ->
-                resolving.update(
+                resolvingStore.update(
                     previous.object(),
                     writeIdentifier,
                     ClaimCodec.encodeAnswered(claim, answer, parts)));
   }
 
-  /** Deletes a claim, if it is still as it was read. */
+  /** Deletes a claim, if it has not changed since it was read. */
   CompletableFuture<Void> delete(StoredObject object) {
-    return resolving.delete(object);
+    return resolvingStore.delete(object);
   }
 
   private CompletableFuture<Optional<StoredClaim>> readAnswer(Optional<StoredObject> found) {
@@ -113,14 +114,17 @@
     Buffer bytes = body.getBuffer(part * PART_BYTES, end);
     String attempt = claim.claim().attemptId();
     ObjectKey key = partKey(claim.object().key().name(), attempt, part);
-    return resolving
+    return resolvingStore
         .create(key, attempt, ClaimCodec.encodePart(claim.claim(), bytes))
         .handle((created, failure) -> failure)
         .thenCompose(failure -> acceptExistingPart(failure))
         .thenCompose(written -> writeParts(claim, body, part + 1, parts));
   }
 
-  /** A part's name holds the attempt, so that one that exists is from an earlier try. */
+  /**
+   * Accepts an existing part: its name contains the attempt, so an earlier try wrote the same
+   * content.
+   */
   private static CompletableFuture<Void> acceptExistingPart(Throwable failure) {
     boolean exists =
         StoreException.failureOf(failure).equals(Optional.of(StoreFailure.ALREADY_EXISTS));
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimSweeper.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimSweeper.java
@@ -18,11 +18,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Deletes claims whose retention is over, while this instance holds the lease for it.
+ * Deletes claims whose retention has expired, while this instance holds the sweep lease.
  *
- * <p>The lease only saves calls: deletes are conditional on the version, and a claim whose time is
- * over may be deleted by anyone. Claims are read in small pages with pauses, so that the store's
- * rates and the daemon's memory are kept. One sweep runs at a time; safe for use by any thread.
+ * <p>The lease only saves calls of the store; correctness does not depend on it, since deletes are
+ * conditional on the version and any instance may delete an expired claim. Claims are read in small
+ * pages with pauses in between to respect the store's rate limits and the daemon's memory. One
+ * sweep runs at a time. Thread-safe.
  */
 public final class ClaimSweeper implements AutoCloseable {
   private static final Logger LOGGER = LogManager.getLogger(ClaimSweeper.class);
@@ -38,9 +39,9 @@
   private volatile boolean closed;
 
   /**
-   * Starts to sweep.
+   * Creates a sweeper and schedules the first sweep.
    *
-   * @param interval the time between the end of a sweep and the next
+   * @param interval the maximum pause between two sweeps; pauses are jittered down to half of it
    */
   public ClaimSweeper(
       Vertx vertx,
@@ -55,7 +56,7 @@
     this.retention = limits.retentionPolicy();
     this.interval = interval;
     this.swept = metrics.counter("agatefield.calls.claimsSwept");
-    pauseUntilNextSweep();
+    scheduleNextSweep();
   }
 
   @Override
@@ -63,15 +64,15 @@
     closed = true;
   }
 
-  private void pauseUntilNextSweep() {
-    long longest = Math.max(2, interval.toMillis());
-    long delay = ThreadLocalRandom.current().nextLong(longest / 2, longest + 1);
+  private void scheduleNextSweep() {
+    long maximum = Math.max(2, interval.toMillis());
+    long delay = ThreadLocalRandom.current().nextLong(maximum / 2, maximum + 1);
     schedule(delay, () -> readPage(Optional.empty()));
   }
 
   private void readPage(Optional<String> continueToken) {
     if (lease.currentGrant().isEmpty()) {
-      pauseUntilNextSweep();
+      scheduleNextSweep();
       return;
     }
     store.listPage(ObjectKind.CLAIM, PAGE_CLAIMS, continueToken).whenComplete(this::pageRead);
@@ -79,14 +80,14 @@
 
   private void pageRead(ObjectPage page, Throwable failure) {
     if (failure != null) {
-      LOGGER.debug("sweep ended early cause={}", failure.getMessage());
-      pauseUntilNextSweep();
+      LOGGER.debug("claim sweep aborted cause={}", failure.getMessage());
+      scheduleNextSweep();
       return;
     }
     long now = System.currentTimeMillis();
-    List<StoredObject> over =
+    List<StoredObject> expired =
         page.objects().objects().stream().filter(object -> maySweep(object, now)).toList();
-    deleteAll(over).whenComplete((done, error) -> goOn(page));
+    deleteAll(expired).whenComplete((done, error) -> continueSweep(page));
   }
 
   private boolean maySweep(StoredObject object, long now) {
@@ -103,9 +104,9 @@
     return store.delete(object).thenRun(swept::inc);
   }
 
-  private void goOn(ObjectPage page) {
+  private void continueSweep(ObjectPage page) {
     if (page.continueToken().isEmpty()) {
-      pauseUntilNextSweep();
+      scheduleNextSweep();
       return;
     }
     schedule(PAGE_PAUSE_MILLISECONDS, () -> readPage(page.continueToken()));
--- a/daemon/src/main/java/org/agatefield/daemon/calls/HolderStateEvaluator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/HolderStateEvaluator.java
@@ -7,10 +7,10 @@
 import org.agatefield.idempotency.ClaimEvent.HolderState;
 
 /**
- * Judges whether the holder of a claim without an outcome may still be executing the call.
+ * Evaluates whether the holder of a claim without an outcome may still be executing the call.
  *
- * <p>Uses wall clocks of several instances; a wrong verdict changes what a retry is told, never
- * whether the call is run. Safe for use by any thread.
+ * <p>Compares wall clocks of several instances. A wrong result changes only the reply to a retry,
+ * never whether the call is executed. Thread-safe.
  */
 final class HolderStateEvaluator {
   private final InstanceDirectory instances;
--- a/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeQuery.java
@@ -5,17 +5,18 @@
 import org.agatefield.daemon.core.NonRepeatableCall;
 import org.agatefield.daemon.core.ServiceResponse;
 
-/** Asks a service for the outcome of an idempotency key. Safe for use by any thread. */
+/** Queries a service for the outcome of an idempotency key. Thread-safe. */
 @FunctionalInterface
 public interface OutcomeQuery {
-  /** Knows no outcome. */
+  /** Always returns an empty outcome. */
   OutcomeQuery NONE = call -> CompletableFuture.completedFuture(Optional.empty());
 
   /**
-   * Returns the answer that the service gave to the key; empty if it does not say.
+   * Returns the service's response to the call with the key; empty if the service does not return
+   * one.
    *
-   * <p>Only asked if {@link org.agatefield.model.PlainService#outcomePath} is present. An empty
-   * answer never leads to another execution.
+   * <p>Called only if {@link org.agatefield.model.PlainService#outcomePath} is present. An empty
+   * result never causes another execution.
    */
   CompletableFuture<Optional<ServiceResponse>> ask(NonRepeatableCall call);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeRecorder.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/OutcomeRecorder.java
@@ -14,21 +14,21 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes one outcome into its claim, again and again until the store takes it.
+ * Writes one outcome into its claim and retries until the store has an outcome.
  *
- * <p>Invariant: an answer in the store is never replaced. One try runs at a time; fields are used
- * by that try alone.
+ * <p>Invariant: a response in the store is never replaced. Tries run sequentially, so the fields
+ * need no synchronization.
  */
 final class OutcomeRecorder {
   private static final Logger LOGGER = LogManager.getLogger(OutcomeRecorder.class);
-  private static final Duration FIRST_DELAY = Duration.ofMillis(50);
-  private static final Duration LONGEST_DELAY = Duration.ofSeconds(5);
+  private static final Duration INITIAL_DELAY = Duration.ofMillis(50);
+  private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(5);
 
   private final Vertx vertx;
   private final ClaimStore claims;
   private final InvariantMonitor monitor;
   private final Runnable recorded;
-  private final Backoff backoff = new Backoff(FIRST_DELAY, LONGEST_DELAY);
+  private final Backoff backoff = new Backoff(INITIAL_DELAY, MAXIMUM_DELAY);
   private final String writeIdentifier = UUID.randomUUID().toString();
   private StoredClaim claim;
   private Claim.Outcome<ServiceResponse> outcome;
@@ -40,7 +40,7 @@
     this.recorded = recorded;
   }
 
-  /** Starts to write; {@code recorded} is run once the store has an outcome. */
+  /** Starts writing; {@code recorded} is run once the store has an outcome. */
   void start(StoredClaim own, Claim.Outcome<ServiceResponse> known) {
     claim = own;
     outcome = known;
@@ -58,10 +58,11 @@
     }
     Optional<StoreFailure> known = StoreException.failureOf(failure);
     if (known.equals(Optional.of(StoreFailure.TOO_LARGE))) {
-      LOGGER.error("answer exceeds the store's limit claim={}", claim.object().key(), failure);
+      LOGGER.error(
+          "response exceeds the store's size limit claim={}", claim.object().key(), failure);
       outcome = new Claim.Outcome<>(Optional.empty());
     }
-    LOGGER.debug("outcome not recorded yet claim={}", claim.object().key(), failure);
+    LOGGER.debug("outcome not recorded, will be retried claim={}", claim.object().key(), failure);
     vertx.setTimer(backoff.nextMilliseconds(), fired -> readAgain());
   }
 
@@ -79,7 +80,7 @@
     monitor.check(
         InvariantMonitor.Invariant.AT_MOST_ONCE,
         own,
-        () -> "the claim " + claim.object().key() + " of a call that was sent is gone");
+        () -> "claim " + claim.object().key() + " disappeared although its call was sent");
     if (!own || hasAnswer(found.get()) || outcome.answer().isEmpty() && hasOutcome(found.get())) {
       recorded.run();
       return;
--- a/daemon/src/main/java/org/agatefield/daemon/calls/RecentOutcomeCache.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/RecentOutcomeCache.java
@@ -10,34 +10,39 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Outcomes that this instance gave lately, so that retries without pause do not each read the store
- * or ask the service.
+ * Caches recent outcomes at this instance, so that rapid retries do not each read the store or
+ * query the service.
  *
- * <p>Invariant: answers are final, so that one that is kept is never out of date; "outcome unknown"
- * may yet become an answer, so it is kept for a moment only. Safe for use by any thread.
+ * <p>Invariant: cached responses are never stale, because a response is final. "Outcome unknown"
+ * may be followed by a response and is therefore cached only briefly. Thread-safe.
  */
 final class RecentOutcomeCache {
   private static final long MAXIMUM_BYTES = 4L * 1024 * 1024;
-  private static final int ENTRY_BYTES = 512;
-  private static final Duration ANSWER_TIME = Duration.ofMinutes(1);
+  private static final int ENTRY_OVERHEAD_BYTES = 512;
+  private static final Duration ANSWER_TIME_TO_LIVE = Duration.ofMinutes(1);
   private static final long MAXIMUM_REFUSALS = 10_000;
-  private static final Duration REFUSAL_TIME = Duration.ofSeconds(1);
+  private static final Duration REFUSAL_TIME_TO_LIVE = Duration.ofSeconds(1);
 
   private final Cache<String, Answered> answers =
       Caffeine.newBuilder()
           .maximumWeight(MAXIMUM_BYTES)
-          .weigher((String name, Answered kept) -> ENTRY_BYTES + kept.answer().body().length())
-          .expireAfterWrite(ANSWER_TIME)
+          .weigher(
+              (String name, Answered cached) ->
+                  ENTRY_OVERHEAD_BYTES + cached.answer().body().length())
+          .expireAfterWrite(ANSWER_TIME_TO_LIVE)
           .build();
   private final Cache<String, Refused> refusals =
-      Caffeine.newBuilder().maximumSize(MAXIMUM_REFUSALS).expireAfterWrite(REFUSAL_TIME).build();
+      Caffeine.newBuilder()
+          .maximumSize(MAXIMUM_REFUSALS)
+          .expireAfterWrite(REFUSAL_TIME_TO_LIVE)
+          .build();
 
   private record Answered(String bodyHash, ServiceResponse answer) {}
 
   private record Refused(String bodyHash, AgatefieldException refusal) {}
 
-  /** Keeps what an arrival was given, if it is worth keeping. */
-  void keep(String name, String bodyHash, ServiceResponse answer, Throwable failure) {
+  /** Caches the reply to an arrival if it is a response or "outcome unknown". */
+  void cache(String name, String bodyHash, ServiceResponse answer, Throwable failure) {
     if (failure == null) {
       answers.put(name, new Answered(bodyHash, answer));
       return;
@@ -48,7 +53,7 @@
     }
   }
 
-  /** Returns the outcome of a call, if it is kept. */
+  /** Returns the outcome of a call, if it is cached for the same request body. */
   Optional<CompletableFuture<ServiceResponse>> find(String name, String bodyHash) {
     Answered answered = answers.getIfPresent(name);
     if (answered != null && answered.bodyHash().equals(bodyHash)) {
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
@@ -28,24 +28,24 @@
 import org.agatefield.store.ObjectStore;
 
 /**
- * Runs calls at most once by claims in the platform's store.
+ * Executes non-repeatable calls at most once, by means of claims in the platform's store.
  *
- * <p>Calls of one key at this instance join one execution; calls at other instances meet in the
- * store. An execution stays known until its outcome is in the store, so that retries here are
- * served meanwhile. Safe for use by any thread.
+ * <p>Calls with the same key at this instance join one execution; calls at other instances are
+ * coordinated through the store. An execution stays registered until its outcome is in the store,
+ * so that retries at this instance join it until then. Thread-safe.
  */
 public final class StoreBackedCallExecutor implements NonRepeatableCallExecutor, AutoCloseable {
-  private static final Duration LONGEST_STORE_PAUSE = Duration.ofMillis(500);
+  private static final Duration MAXIMUM_STORE_PAUSE = Duration.ofMillis(500);
 
   private final RecentOutcomeCache recent = new RecentOutcomeCache();
   private final Map<String, ClaimExecution> executions = new ConcurrentHashMap<>();
-  private final CallContext parts;
+  private final CallContext context;
   private final InstanceDirectory instances;
   private final CallLimits limits;
   private final RetentionPolicy retention;
   private final MetricRegistry metrics;
 
-  /** Creates the calls of an instance. */
+  /** Creates the executor of an instance. */
   public StoreBackedCallExecutor(
       Vertx vertx,
       ObjectStore store,
@@ -55,11 +55,11 @@
       FailPointHook hook,
       InvariantMonitor monitor,
       MetricRegistry metrics) {
-    ClaimStore claims = new ClaimStore(new CircuitBreakingStore(store, LONGEST_STORE_PAUSE));
+    ClaimStore claims = new ClaimStore(new CircuitBreakingStore(store, MAXIMUM_STORE_PAUSE));
     ClaimRemover remover = new ClaimRemover(vertx, claims, limits.lateEffectWindow());
-    HolderStateEvaluator holders =
+    HolderStateEvaluator holderStates =
         new HolderStateEvaluator(instances, remover, limits.holderGrace());
-    this.parts = new CallContext(vertx, claims, remover, holders, outcomes, hook, monitor);
+    this.context = new CallContext(vertx, claims, remover, holderStates, outcomes, hook, monitor);
     this.instances = instances;
     this.limits = limits;
     this.retention = limits.retentionPolicy();
@@ -77,13 +77,14 @@
     if (retention.isExpired(call.key(), System.currentTimeMillis())) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(
-              ErrorKind.KEY_EXPIRED, "the key is older than outcomes are kept; nothing was sent"));
+              ErrorKind.KEY_EXPIRED,
+              "the key is older than the retention of outcomes; nothing was sent"));
     }
     String name = ClaimNames.nameOf(call.caller(), call.service().name(), call.key());
-    Optional<CompletableFuture<ServiceResponse>> kept = recent.find(name, call.bodySha256());
-    if (kept.isPresent()) {
+    Optional<CompletableFuture<ServiceResponse>> cached = recent.find(name, call.bodySha256());
+    if (cached.isPresent()) {
       metrics.counter("agatefield.calls.answeredFromMemory").inc();
-      return kept.get();
+      return cached.get();
     }
     ClaimExecution created = newExecution(call, request, dispatcher, sender, name);
     ClaimExecution running = executions.putIfAbsent(name, created);
@@ -91,14 +92,15 @@
       metrics.counter("agatefield.calls.started").inc();
       created
           .reply()
-          .whenComplete((answer, failure) -> recent.keep(name, call.bodySha256(), answer, failure));
+          .whenComplete(
+              (answer, failure) -> recent.cache(name, call.bodySha256(), answer, failure));
       created.start();
       return withDeadline(created, call);
     }
     if (!running.bodyHash().equals(call.bodySha256())) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(
-              ErrorKind.KEY_REUSED, "the key was used before with another request"));
+              ErrorKind.KEY_REUSED, "the key was already used with a different request"));
     }
     metrics.counter("agatefield.calls.joined").inc();
     return withDeadline(running, call);
@@ -111,7 +113,7 @@
 
   @Override
   public void close() {
-    parts.remover().close();
+    context.remover().close();
   }
 
   private ClaimExecution newExecution(
@@ -130,7 +132,7 @@
             now + joinLimit,
             call.service().outcomePath().isPresent());
     return new ClaimExecution(
-        parts,
+        context,
         call,
         request,
         dispatcher,
@@ -138,7 +140,7 @@
         name,
         arrival,
         claimOf(call, arrival),
-        over -> executions.remove(name, over));
+        ended -> executions.remove(name, ended));
   }
 
   private Claim<ServiceResponse> claimOf(NonRepeatableCall call, Arrival arrival) {
@@ -153,12 +155,14 @@
         Optional.empty());
   }
 
-  /** Gives each caller the shared reply or, at its own deadline, a failure; the call goes on. */
+  /**
+   * Returns the shared reply, or a failure at the caller's own deadline; the execution continues.
+   */
   private CompletableFuture<ServiceResponse> withDeadline(
       ClaimExecution execution, NonRepeatableCall call) {
     CompletableFuture<ServiceResponse> own = new CompletableFuture<>();
     long timer =
-        parts
+        context
             .vertx()
             .setTimer(
                 Math.max(1, call.remaining().toMillis()),
@@ -167,7 +171,7 @@
         .reply()
         .whenComplete(
             (answer, failure) -> {
-              parts.vertx().cancelTimer(timer);
+              context.vertx().cancelTimer(timer);
               if (failure == null) {
                 own.complete(answer);
               } else {
@@ -181,7 +185,7 @@
     return new AgatefieldException(
         ErrorKind.DEADLINE_EXCEEDED,
         RunState.UNKNOWN,
-        "the deadline passed; a retry with the same key gets the answer once it is known",
+        "the deadline passed; a retry with the same key returns the outcome once it is known",
         null,
         null);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoredClaim.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoredClaim.java
@@ -4,5 +4,5 @@
 import org.agatefield.idempotency.Claim;
 import org.agatefield.store.StoredObject;
 
-/** A claim with the object that holds it. Immutable. */
+/** A claim with the stored object that it was decoded from. Immutable. */
 record StoredClaim(StoredObject object, Claim<ServiceResponse> claim) {}
--- a/daemon/src/main/java/org/agatefield/daemon/calls/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Calls of plain services that must run at most once, over claims in the platform's store.
+ * Executes calls of plain services at most once, by means of claims in the platform's store.
  *
- * <p>The decisions lie in {@link org.agatefield.idempotency.ClaimProtocol}; this package carries
- * them out.
+ * <p>{@link org.agatefield.idempotency.ClaimProtocol} makes the decisions; this package executes
+ * them.
  */
 package org.agatefield.daemon.calls;
--- a/daemon/src/main/java/org/agatefield/daemon/core/AdapterLoader.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/AdapterLoader.java
@@ -5,17 +5,17 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Loads adapters on demand, without a message to other instances. Safe for use by any thread.
+ * Loads adapters on demand, without coordination with other instances. Thread-safe.
  *
- * <p>Loads of the same adapter on the same runner are joined, and this instance has no more loads
- * in flight than its share of the weight store's limit.
+ * <p>Concurrent loads of the same adapter on the same runner are joined. The number of loads in
+ * flight is limited to this instance's share of the weight store's limit.
  */
 public interface AdapterLoader {
   /**
-   * Completes once the runner has the adapter loaded beside the version; at once if it has.
+   * Returns a future that completes once the runner has loaded the adapter for the version.
    *
-   * <p>The future fails with {@link org.agatefield.model.AgatefieldException}; nothing of the
-   * request that asks for the adapter was sent then.
+   * <p>The future fails with {@link org.agatefield.model.AgatefieldException}; no byte of the
+   * request that needs the adapter has been sent then.
    */
   CompletableFuture<Void> ensureLoaded(Upstream runner, VersionId version, String adapter);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/ConfigurationSink.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ConfigurationSink.java
@@ -2,8 +2,8 @@
 
 import org.agatefield.model.ConfigurationDocument;
 
-/** Takes accepted documents that were learnt from elsewhere. Safe for use by any thread. */
+/** Receives accepted documents from the store and from peers. Thread-safe. */
 public interface ConfigurationSink {
-  /** Adopts an accepted document if its generation is above the one in force. */
+  /** Activates an accepted document if its generation is higher than that of the active one. */
   void offer(ConfigurationDocument document);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/ConfigurationSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ConfigurationSource.java
@@ -4,14 +4,14 @@
 import org.agatefield.model.ConfigurationDocument;
 
 /**
- * The configuration that this instance has in force. Safe for use by any thread.
+ * Provides the active configuration of this instance. Thread-safe.
  *
- * <p>Invariant: the generation of {@link #current()} never falls.
+ * <p>Invariant: the generation of {@link #current()} never decreases.
  */
 public interface ConfigurationSource {
-  /** Returns the document in force; the empty one before any was learnt. */
+  /** Returns the active document; an empty one before the first document was received. */
   ConfigurationDocument current();
 
-  /** Calls {@code listener} with the document in force now and with each later one, in order. */
+  /** Calls {@code listener} with the active document and with each later one, in order. */
   void subscribe(Consumer<ConfigurationDocument> listener);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/Dispatch.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/Dispatch.java
@@ -5,27 +5,27 @@
 import org.agatefield.model.VersionId;
 
 /**
- * One attempt of a request at one upstream.
+ * Represents one attempt to serve a request at one upstream.
  *
- * <p>Invariant: attempt numbers are unique within the instance and rise with time, so that whatever
- * comes back for an earlier attempt can be told apart. Safe for use by any thread.
+ * <p>Invariant: attempt numbers are unique within the instance and increase with time, so that late
+ * responses to earlier attempts can be distinguished. Thread-safe.
  */
 public interface Dispatch {
   /** Returns the number of this attempt. */
   long attemptNumber();
 
-  /** Returns where to send the request. */
+  /** Returns the upstream to send the request to. */
   Upstream upstream();
 
-  /** Returns the version to ask the runner for; empty for a plain service. */
+  /** Returns the version to request from the runner; empty for a plain service. */
   Optional<VersionId> version();
 
   /** Returns the adapter that the runner must have loaded; empty if none. */
   Optional<String> adapter();
 
-  /** Records that the first part of the answer came. */
+  /** Records that the first part of the response was received. */
   void responseStarted();
 
-  /** Records that the attempt is over and gives its place back; later calls do nothing. */
+  /** Records the end of the attempt and releases its capacity; later calls have no effect. */
   void finished(DispatchOutcome outcome);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/DispatchOutcome.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/DispatchOutcome.java
@@ -1,17 +1,17 @@
 package org.agatefield.daemon.core;
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 public enum DispatchOutcome {
-  /** The whole answer came. */
+  /** The complete response was received. */
   SUCCEEDED,
-  /** The upstream refused because it is overloaded. */
+  /** The upstream refused the request because it is overloaded. */
   REJECTED,
-  /** The connection could not be made; nothing was sent. */
+  /** The connection could not be established; nothing was sent. */
   UNREACHABLE,
-  /** The upstream answered with an error or its answer was cut. */
+  /** The upstream returned an error or its response was truncated. */
   FAILED,
-  /** The deadline passed before the whole answer came. */
+  /** The deadline passed before the complete response was received. */
   TIMED_OUT,
-  /** The caller went away or the attempt was given up for another reason of ours. */
+  /** The caller disconnected, or this instance cancelled the attempt for another reason. */
   CANCELLED
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/EntryAddresses.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/EntryAddresses.java
@@ -5,10 +5,10 @@
 import org.agatefield.model.Address;
 
 /**
- * Which entry instances a caller should use. Immutable.
+ * The addresses of the entry instances that a caller should use. Immutable.
  *
- * @param addresses best first; at least one
- * @param timeToLive how long the caller may keep the answer
+ * @param addresses at least one address, preferred first
+ * @param timeToLive how long the caller may cache the addresses
  */
 public record EntryAddresses(List<Address> addresses, Duration timeToLive) {
   /** Copies the list. */
--- a/daemon/src/main/java/org/agatefield/daemon/core/EntryDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/EntryDirectory.java
@@ -2,13 +2,13 @@
 
 import java.util.Optional;
 
-/** Answers which entry instances a caller should use. Safe for use by any thread. */
+/** Resolves the entry instances that a caller should use. Thread-safe. */
 public interface EntryDirectory {
   /**
-   * Returns the addresses to use, best first; never empty.
+   * Returns the addresses to use, preferred first; never empty.
    *
-   * @param model the deployment or adapter that the caller will ask for
-   * @param region the region that the caller lies in
+   * @param model the deployment or adapter that the caller is going to request
+   * @param region the caller's region
    */
   EntryAddresses entriesFor(Optional<String> model, Optional<String> region);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/FailPointHook.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/FailPointHook.java
@@ -1,20 +1,20 @@
 package org.agatefield.daemon.core;
 
 /**
- * Told when a daemon reaches a named step; a test's implementation pauses or ends the process
+ * Called when a daemon reaches a fail point. Implementations in tests pause or end the process
  * there.
  *
- * <p>Called on the thread that takes the step. Safe for use by any thread.
+ * <p>Called on the thread that reaches the fail point. Implementations are thread-safe.
  */
 @FunctionalInterface
 public interface FailPointHook {
-  /** The hook of a daemon outside tests: does nothing. */
-  FailPointHook NONE = (step, subject) -> {};
+  /** Does nothing; used outside tests. */
+  FailPointHook NONE = (failPoint, subject) -> {};
 
   /**
-   * Called when {@code step} is reached.
+   * Called when a fail point is reached.
    *
-   * @param subject what the step is about, such as an idempotency key or an upstream's name
+   * @param subject the affected object, such as an idempotency key or an upstream's name
    */
-  void reached(FailPoint step, String subject);
+  void reached(FailPoint failPoint, String subject);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/InstanceDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/InstanceDirectory.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 import org.agatefield.model.Instance;
 
-/** The entry instances and the leaving upstreams. Safe for use by any thread. */
+/** Lists the entry instances and the leaving upstreams. Thread-safe. */
 public interface InstanceDirectory {
-  /** Returns this instance as it is now. */
+  /** Returns this instance with its current state. */
   Instance self();
 
-  /** Returns every instance believed to be alive, this one included, leaving ones included. */
+  /** Returns all instances considered alive, including this one and leaving ones. */
   Collection<Instance> alive();
 
-  /** Returns the names of upstreams that are leaving or gone and get no new work. */
+  /** Returns the names of upstreams that are leaving or have left and receive no new requests. */
   Set<String> leavingUpstreams();
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/InvariantMonitor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/InvariantMonitor.java
@@ -3,28 +3,28 @@
 import java.util.function.Supplier;
 
 /**
- * Collects violations of the promises, each with its evidence; a violation is logged and counted.
+ * Logs and counts violations of the system's invariants, each with its evidence.
  *
- * <p>Safe for use by any thread.
+ * <p>Thread-safe.
  */
 public interface InvariantMonitor {
-  /** The promises that are checked while the daemon runs. */
+  /** The invariants checked while the daemon runs. */
   enum Invariant {
     /** Accelerator memory is never overcommitted. */
     MEMORY,
-    /** Every deployed model stays reachable. */
+    /** Every deployed model remains reachable. */
     REACHABILITY,
-    /** Each caller receives the whole answer to its own request. */
+    /** Each caller receives the complete response to its own request. */
     WHOLE_ANSWER,
-    /** A refusal that says "not run" is true. */
+    /** A request refused as "not run" was not run. */
     TRUE_REFUSAL,
-    /** What must not repeat runs at most once. */
+    /** A non-repeatable call runs at most once. */
     AT_MOST_ONCE,
-    /** A leaving upstream receives no new work. */
+    /** A leaving upstream receives no new requests. */
     LEAVING_UPSTREAM,
-    /** A graceful shutdown cuts no request. */
+    /** A graceful shutdown interrupts no request. */
     GRACEFUL_SHUTDOWN,
-    /** An accepted configuration never reverts. */
+    /** An accepted configuration is never reverted. */
     CONFIGURATION
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/core/LeaseView.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/LeaseView.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 import org.agatefield.lease.LeaseGrant;
 
-/** Whether this instance holds a lease. Safe for use by any thread. */
+/** Provides whether this instance holds a lease. Thread-safe. */
 public interface LeaseView {
   /**
-   * Returns the grant if this instance holds the lease at this moment by its monotonic clock.
+   * Returns the grant if this instance currently holds the lease according to its monotonic clock.
    *
-   * <p>The answer may be out of date by the time it is used; what must not be done twice also
-   * carries the fencing token.
+   * <p>The result may be outdated by the time it is used; actions that must not be performed by two
+   * holders also carry the fencing token.
    */
   Optional<LeaseGrant> currentGrant();
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/ModelRequest.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ModelRequest.java
@@ -5,17 +5,18 @@
 import org.agatefield.model.Priority;
 
 /**
- * What admission and routing need to know of a request to a model. Immutable.
+ * Describes a request to a model for admission and routing. Immutable.
  *
- * @param requestId unique, for logs and {@code agatefieldctl explain}
+ * @param requestId unique identifier, for logs and {@code agatefieldctl explain}
  * @param caller the caller's name
- * @param model the deployment or adapter asked for
- * @param priority already limited by what the caller and the deployment allow
- * @param remaining time until the deadline, from now
+ * @param model the requested deployment or adapter
+ * @param priority the priority, already limited to the maximum of the caller and the deployment
+ * @param remaining time until the deadline
  * @param bodyBytes size of the request body
  * @param promptTokens estimated number of prompt tokens
- * @param maximumTokens the most tokens that may be generated
- * @param prefixHashes hashes of the prompt's growing prefixes, shortest first, one each 256 bytes
+ * @param maximumTokens maximum number of tokens to generate
+ * @param prefixHashes hashes of the prompt's prefixes, shortest first, each 256 bytes longer than
+ *     the one before
  */
 public record ModelRequest(
     String requestId,
--- a/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCall.java
@@ -6,16 +6,16 @@
 import org.agatefield.model.PlainService;
 
 /**
- * A call of a plain service that must run at most once. Immutable.
+ * Describes a call of a plain service that must run at most once. Immutable.
  *
- * @param requestId unique to this arrival of the call, for logs
- * @param caller the caller's name; keys of different callers are different
+ * @param requestId unique identifier of this arrival of the call, for logs
+ * @param caller the caller's name; equal keys of different callers are unrelated
  * @param service the service
  * @param method the HTTP method
  * @param path the path and query below {@code /services/name}
  * @param key the caller's idempotency key
  * @param bodySha256 the SHA-256 of method, path and body, as hexadecimal digits
- * @param remaining time until the deadline, from now
+ * @param remaining time until the deadline
  */
 public record NonRepeatableCall(
     String requestId,
@@ -31,10 +31,10 @@
   @FunctionalInterface
   public interface Sender {
     /**
-     * Sends the call once, with the idempotency key, and returns the whole answer.
+     * Sends the call once, with the idempotency key, and returns the complete response.
      *
-     * <p>The future fails with an {@link org.agatefield.model.AgatefieldException} whose run state
-     * is {@code NO} only if not one byte reached the upstream.
+     * <p>The future fails with an {@link org.agatefield.model.AgatefieldException}; its run state
+     * is {@code NO} only if no byte reached the upstream.
      */
     CompletableFuture<ServiceResponse> send(Address upstream);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCallExecutor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/NonRepeatableCallExecutor.java
@@ -3,17 +3,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Runs calls that must not repeat at most once, however often and wherever they are sent.
+ * Executes each non-repeatable call at most once, however often and at whichever instances it
+ * arrives.
  *
- * <p>Invariant: for each caller, service and key, senders are invoked at most once over all
- * instances, except after proof that the earlier invocation sent nothing. Safe for use by any
- * thread.
+ * <p>Invariant: for each caller, service and key, a sender is invoked at most once across all
+ * instances, except after proof that the earlier invocation sent nothing. Thread-safe.
  */
 public interface NonRepeatableCallExecutor {
   /**
-   * Returns the whole answer of the one execution, from now or from before.
+   * Returns the complete response of the single execution, which may have happened earlier.
    *
-   * @param dispatcher chooses the upstream after the key is known to be new, before the claim
+   * @param dispatcher chooses the upstream after the key was found to be new and before it is
+   *     claimed
    */
   CompletableFuture<ServiceResponse> execute(
       NonRepeatableCall call,
@@ -21,6 +22,8 @@
       Dispatcher dispatcher,
       NonRepeatableCall.Sender sender);
 
-  /** Returns the number of calls that this instance has claimed and not yet recorded. */
+  /**
+   * Returns the number of calls that this instance has claimed without having recorded the outcome.
+   */
   int runningCalls();
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/ReplicaDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ReplicaDirectory.java
@@ -5,11 +5,11 @@
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Replica;
 
-/** Which versions are loaded where, as this instance knows it. Safe for use by any thread. */
+/** Lists which upstreams have which versions loaded, as known to this instance. Thread-safe. */
 public interface ReplicaDirectory {
-  /** Returns the replicas that may be given requests. */
+  /** Returns the replicas that may receive requests. */
   List<Replica> replicas();
 
-  /** Returns the last load report of a runner, if one has come. */
+  /** Returns the latest load report of a runner, if one was received. */
   Optional<LoadReport> loadReport(String upstream);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/core/ServiceRequest.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ServiceRequest.java
@@ -4,13 +4,13 @@
 import org.agatefield.model.Priority;
 
 /**
- * What admission and routing need to know of a request to a plain service. Immutable.
+ * Describes a request to a plain service for admission and routing. Immutable.
  *
- * @param requestId unique, for logs
+ * @param requestId unique identifier, for logs
  * @param caller the caller's name
  * @param service the service's name
- * @param priority already limited by what the caller allows
- * @param remaining time until the deadline, from now
+ * @param priority the priority, already limited to the caller's maximum
+ * @param remaining time until the deadline
  * @param bodyBytes size of the request body
  */
 public record ServiceRequest(
--- a/daemon/src/main/java/org/agatefield/daemon/core/ServiceResponse.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/ServiceResponse.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The whole answer of a plain service. Immutable as long as nobody changes {@code body}.
+ * The complete response of a plain service. Immutable, provided that {@code body} is not modified.
  *
  * @param status the HTTP status
- * @param headers the headers that are passed on to the caller
- * @param body the whole body
+ * @param headers the headers returned to the caller
+ * @param body the complete body
  */
 public record ServiceResponse(int status, List<Header> headers, Buffer body) {
   /** Copies the list. */
@@ -19,7 +19,7 @@
   /**
    * One HTTP header. Immutable.
    *
-   * @param name the name as the service wrote it
+   * @param name the name as sent by the service
    * @param value the value
    */
   public record Header(String name, String value) {}
--- a/daemon/src/main/java/org/agatefield/daemon/core/UpstreamIdempotencyKeys.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/UpstreamIdempotencyKeys.java
@@ -1,19 +1,19 @@
 package org.agatefield.daemon.core;
 
 /**
- * Idempotency keys as services see them. Stateless.
+ * Creates the idempotency keys that are sent to services. Stateless.
  *
- * <p>Invariant: keys of different configured callers are different, also when the callers chose the
- * same text; otherwise a service that is asked for an outcome could give one caller the answer of
- * another. The names of callers hold no colon.
+ * <p>Invariant: different configured callers get different keys, even if they chose the same text;
+ * otherwise a service queried for an outcome could return one caller's response to another. Caller
+ * names contain no colon.
  */
 public final class UpstreamIdempotencyKeys {
-  /** The caller of every request while no callers are configured. */
+  /** The caller name of all requests while no callers are configured. */
   public static final String ANONYMOUS_CALLER = "anonymous";
 
   private UpstreamIdempotencyKeys() {}
 
-  /** Returns the key that is passed on to the service; the caller's own if callers are unknown. */
+  /** Returns the key sent to the service; the caller's own key if no callers are configured. */
   public static String of(String caller, String key) {
     return caller.equals(ANONYMOUS_CALLER) ? key : caller + ":" + key;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/core/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/core/package-info.java
@@ -1,2 +1,2 @@
-/** The narrow interfaces between the parts of a daemon; each part lies in a package of its own. */
+/** Defines the interfaces between a daemon's components, each of which has its own package. */
 package org.agatefield.daemon.core;
--- a/daemon/src/test/java/org/agatefield/daemon/core/UpstreamIdempotencyKeysTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/core/UpstreamIdempotencyKeysTest.java
@@ -11,7 +11,7 @@
 
 class UpstreamIdempotencyKeysTest {
   @Property(tries = 1000, seed = "42")
-  void sameKeyOfTwoCallersIsDifferentForTheService(
+  void equalKeysOfTwoCallersAreDifferentForTheService(
       @ForAll @CharRange(from = 'a', to = 'c') @StringLength(min = 1, max = 3) String first,
       @ForAll @CharRange(from = 'a', to = 'c') @StringLength(min = 1, max = 3) String second,
       @ForAll @CharRange(from = ':', to = ';') @StringLength(min = 1, max = 4) String key,
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void keyWithoutConfiguredCallersIsPassedOnAsItCame() {
+  void keyIsUnchangedWithoutConfiguredCallers() {
     assertEquals("visit-12", UpstreamIdempotencyKeys.of("anonymous", "visit-12"));
   }
 }
