--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ActiveConfiguration.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ActiveConfiguration.java
@@ -12,11 +12,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The document that this instance has in force.
+ * Holds the active document of this instance.
  *
- * <p>Invariant: the generation rises with each adoption; two documents of one generation are equal.
- * Safe for use by any thread: state is guarded by the object's lock, and listeners are called under
- * it so that they hear every document in order; they must not block.
+ * <p>Invariant: the generation increases with each adopted document; two documents of the same
+ * generation are equal. Thread-safe: state is guarded by the object's lock. Listeners are called
+ * under the lock so that they receive every document in order; they must not block.
  */
 public final class ActiveConfiguration implements ConfigurationSource, ConfigurationSink {
   private static final Logger LOGGER = LogManager.getLogger(ActiveConfiguration.class);
@@ -25,7 +25,7 @@
   private final List<Consumer<ConfigurationDocument>> listeners = new ArrayList<>();
   private volatile ConfigurationDocument current = ConfigurationDocument.empty();
 
-  /** Creates a holder of the empty document. */
+  /** Creates an active configuration with the empty document. */
   public ActiveConfiguration(InvariantMonitor monitor) {
     this.monitor = monitor;
   }
@@ -47,18 +47,27 @@
       checkSameDocument(document);
       return;
     }
-    long earlier = current.generation();
+    long previousGeneration = current.generation();
     current = document;
-    LOGGER.info("configuration adopted generation={} earlier={}", document.generation(), earlier);
+    LOGGER.info(
+        "configuration adopted generation={} earlier={}",
+        document.generation(),
+        previousGeneration);
     listeners.forEach(listener -> listener.accept(document));
   }
 
   private void checkSameDocument(ConfigurationDocument document) {
-    ConfigurationDocument mine = current;
-    boolean consistent = document.generation() < mine.generation() || document.equals(mine);
+    ConfigurationDocument active = current;
+    boolean consistent = document.generation() < active.generation() || document.equals(active);
     monitor.check(
         Invariant.CONFIGURATION,
         consistent,
-        () -> "two documents of generation " + mine.generation() + ": " + mine + ", " + document);
+        () ->
+            "different documents of generation "
+                + active.generation()
+                + ": "
+                + active
+                + ", "
+                + document);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationCodec.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationCodec.java
@@ -9,7 +9,7 @@
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.store.StoredObject;
 
-/** Maps accepted documents to the content of objects and back. Has no state. */
+/** Converts accepted documents to and from the content of stored objects. Stateless. */
 final class ConfigurationCodec {
   private static final String DOCUMENT_FIELD = "document";
 
@@ -26,7 +26,8 @@
       return ConfigurationReader.parse(object.content().get(DOCUMENT_FIELD));
     } catch (ConfigurationFaultsException exception) {
       throw new IllegalStateException(
-          object.key() + " holds no document: " + exception.getMessage(), exception);
+          object.key() + " does not contain a valid document: " + exception.getMessage(),
+          exception);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationConflictException.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationConflictException.java
@@ -4,21 +4,21 @@
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
-/** A document that was written against another generation than the accepted one. Immutable. */
+/** Thrown if a document is based on a generation other than the accepted one. Immutable. */
 public final class ConfigurationConflictException extends AgatefieldException {
   private static final long serialVersionUID = 1L;
 
   private final transient ConfigurationDifference difference;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
-   * @param difference what applying the document would have changed in the accepted one
+   * @param difference the changes that the document would make to the accepted one
    */
   public ConfigurationConflictException(ConfigurationDifference difference) {
     super(
         ErrorKind.CONFIGURATION_CONFLICT,
-        "the document was written against generation "
+        "the document is based on generation "
             + difference.toGeneration()
             + " but generation "
             + difference.fromGeneration()
@@ -26,7 +26,7 @@
     this.difference = difference;
   }
 
-  /** Returns what applying the document would have changed in the accepted one. */
+  /** Returns the changes that the document would make to the accepted one. */
   public ConfigurationDifference difference() {
     return difference;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationHistory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationHistory.java
@@ -13,10 +13,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The accepted documents before the current one, one object each.
+ * Stores the accepted documents that precede the current one, one object each.
  *
- * <p>Invariant: a document is in the history before it is replaced, so that the latest ones are
- * never missing. Safe for use by any thread.
+ * <p>Invariant: a document is added to the history before it is replaced, so the most recent ones
+ * are never missing. Thread-safe.
  */
 final class ConfigurationHistory {
   private static final Logger LOGGER = LogManager.getLogger(ConfigurationHistory.class);
@@ -29,8 +29,8 @@
     this.store = store;
   }
 
-  /** Keeps a document; completes once it is in the history, whoever wrote it. */
-  CompletableFuture<Void> keep(ConfigurationDocument document) {
+  /** Adds a document; completes once it is in the history, even if another instance added it. */
+  CompletableFuture<Void> add(ConfigurationDocument document) {
     if (document.generation() == 0) {
       return CompletableFuture.completedFuture(null);
     }
@@ -51,18 +51,19 @@
         : CompletableFuture.failedFuture(failure);
   }
 
-  /** Deletes the document that is older than the history reaches back; failures are logged. */
+  /** Deletes the document that has just exceeded the history's length; failures are only logged. */
   void trim(long acceptedGeneration) {
-    long old = acceptedGeneration - RETAINED_GENERATIONS;
-    if (old < 1) {
+    long expired = acceptedGeneration - RETAINED_GENERATIONS;
+    if (expired < 1) {
       return;
     }
     store
-        .get(key(old))
+        .get(key(expired))
         .thenCompose(store::delete)
         .exceptionally(
             failure -> {
-              LOGGER.debug("history not trimmed generation={} cause={}", old, failure.toString());
+              LOGGER.debug(
+                  "history not trimmed generation={} cause={}", expired, failure.toString());
               return null;
             });
   }
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationManager.java
@@ -24,11 +24,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the accepted configuration in force at this instance, and has documents accepted.
+ * Activates the accepted configuration at this instance and submits new documents for acceptance.
  *
- * <p>One object in the store decides which document is accepted; a document is learnt by a watch of
- * that object, from peers and by a slow poll, and a higher generation alone is adopted. Safe for
- * use by any thread.
+ * <p>A single object in the store determines the accepted document. Documents are received by a
+ * watch of that object, from peers and by a slow poll; a document is adopted only if its generation
+ * is higher. Thread-safe.
  */
 public final class ConfigurationManager
     implements ConfigurationSource, ConfigurationSink, AutoCloseable {
@@ -39,15 +39,15 @@
       CompletableFuture.delayedExecutor(RETRY_DELAY_MILLISECONDS, TimeUnit.MILLISECONDS);
 
   private final ObjectStore store;
-  private final ActiveConfiguration inForce;
+  private final ActiveConfiguration active;
   private final ConfigurationHistory history;
   private final ObjectInformer informer;
   private final FailPointHook hook;
 
   /**
-   * Creates a keeper; {@link #start()} starts it.
+   * Creates a manager, which is inactive until {@link #start()} is called.
    *
-   * @param pollInterval how often the store is read although its watch is quiet
+   * @param pollInterval interval at which the store is read even if the watch reports no changes
    */
   public ConfigurationManager(
       Vertx vertx,
@@ -58,15 +58,15 @@
       FailPointHook hook) {
     this.store = store;
     this.hook = hook;
-    this.inForce = new ActiveConfiguration(monitor);
+    this.active = new ActiveConfiguration(monitor);
     this.history = new ConfigurationHistory(store);
     this.informer = new ObjectInformer(vertx, store, ObjectKind.CONFIGURATION, pollInterval);
     informer.listen(new CurrentListener());
-    Gauge<Long> generation = () -> inForce.current().generation();
+    Gauge<Long> generation = () -> active.current().generation();
     metrics.registerGauge("agatefield.configuration.generation", generation);
   }
 
-  /** Starts to learn from the store. */
+  /** Starts to receive documents from the store. */
   public ConfigurationManager start() {
     informer.start();
     return this;
@@ -74,28 +74,28 @@
 
   @Override
   public ConfigurationDocument current() {
-    return inForce.current();
+    return active.current();
   }
 
   @Override
   public void subscribe(Consumer<ConfigurationDocument> listener) {
-    inForce.subscribe(listener);
+    active.subscribe(listener);
   }
 
   @Override
   public void offer(ConfigurationDocument document) {
-    inForce.offer(document);
+    active.offer(document);
   }
 
   /**
-   * Has a document accepted in place of the generation that it names.
+   * Submits a document as the successor of the generation that it names.
    *
-   * <p>The future gives the accepted document, with the next generation, or fails with an {@link
+   * <p>The future returns the accepted document with the next generation, or fails with an {@link
    * org.agatefield.model.AgatefieldException}: {@link ConfigurationConflictException}, {@link
-   * ConfigurationRefusedException}, or store unavailable with run state {@code UNKNOWN} if the
-   * document may be accepted yet.
+   * ConfigurationRefusedException}, or store unavailable, with run state {@code UNKNOWN} if the
+   * document may still be accepted.
    *
-   * @param document read by {@link org.agatefield.configuration.ConfigurationReader}
+   * @param document a document parsed by {@link org.agatefield.configuration.ConfigurationReader}
    */
   public CompletableFuture<ConfigurationDocument> apply(ConfigurationDocument document) {
     return new ConfigurationUpdate(store, history, document, RETRIES)
@@ -107,17 +107,17 @@
     String subject = Long.toString(document.generation());
     LOGGER.info("configuration accepted generation={}", subject);
     hook.reached(FailPoint.AFTER_CONFIGURATION_ACCEPTED, subject);
-    inForce.offer(document);
+    active.offer(document);
     history.trim(document.generation());
     return document;
   }
 
-  /** Returns the generations that the history holds, lowest first, without the current one. */
+  /** Returns the generations in the history in ascending order, without the current one. */
   public CompletableFuture<List<Long>> historyGenerations() {
     return history.generations();
   }
 
-  /** Returns an accepted document; fails with not found if the history does not hold it. */
+  /** Returns an accepted document; fails with not found if it is not in the history. */
   public CompletableFuture<ConfigurationDocument> historyDocument(long generation) {
     if (generation == current().generation()) {
       return CompletableFuture.completedFuture(current());
@@ -130,7 +130,7 @@
     informer.close();
   }
 
-  /** Adopts what the store holds. */
+  /** Adopts the document stored in the store. */
   private final class CurrentListener implements InformerListener {
     @Override
     public void changed(StoredObject object) {
@@ -138,10 +138,10 @@
         return;
       }
       try {
-        inForce.offer(ConfigurationCodec.decode(object));
+        active.offer(ConfigurationCodec.decode(object));
       } catch (IllegalStateException exception) {
         LOGGER.error(
-            "configuration in the store cannot be read; the earlier stays in force", exception);
+            "configuration in the store cannot be read; the previous one stays active", exception);
       }
     }
   }
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationUpdate.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/ConfigurationUpdate.java
@@ -20,11 +20,11 @@
 import org.agatefield.store.StoredObject;
 
 /**
- * One operator's attempt to have a document accepted.
+ * Submits one document to the store for acceptance.
  *
- * <p>Invariant: the document is accepted at most once, and only in place of the generation that it
- * names. Every try carries the same write identifier, so that a try whose answer was lost is
- * recognised by reading back. Used once.
+ * <p>Invariant: the document is accepted at most once, and only as the successor of the generation
+ * that it names. All tries use the same write identifier, so that reading the object back shows
+ * whether a try whose response was lost took effect. Not reusable.
  */
 final class ConfigurationUpdate {
   static final ObjectKey CURRENT = new ObjectKey(ObjectKind.CONFIGURATION, "current");
@@ -38,9 +38,9 @@
   private volatile boolean mayHaveTakenEffect;
 
   /**
-   * Creates an attempt.
+   * Creates an update.
    *
-   * @param retries runs the next try after a delay
+   * @param retries executes the next try after a delay
    */
   ConfigurationUpdate(
       ObjectStore store,
@@ -83,8 +83,7 @@
         found.map(ConfigurationCodec::decode).orElse(ConfigurationDocument.empty());
     if (base.generation() < document.generation() && mayHaveTakenEffect) {
       return CompletableFuture.failedFuture(
-          new StoreException(
-              StoreFailure.UNKNOWN_RESULT, "the store was read from a lagging copy"));
+          new StoreException(StoreFailure.UNKNOWN_RESULT, "the store returned a stale document"));
     }
     if (base.generation() != document.generation()) {
       return CompletableFuture.failedFuture(
@@ -94,7 +93,7 @@
     if (!faults.isEmpty()) {
       return CompletableFuture.failedFuture(new ConfigurationRefusedException(faults));
     }
-    return history.keep(base).thenCompose(kept -> write(found));
+    return history.add(base).thenCompose(added -> write(found));
   }
 
   private CompletableFuture<ConfigurationDocument> write(Optional<StoredObject> found) {
@@ -104,11 +103,11 @@
             .map(previous -> store.update(previous, writeIdentifier, content))
             .orElseGet(() -> store.create(CURRENT, writeIdentifier, content));
     return written
-        .whenComplete((object, failure) -> noteUnknown(failure))
+        .whenComplete((object, failure) -> recordUnknownResult(failure))
         .thenApply(object -> accepted());
   }
 
-  private void noteUnknown(Throwable failure) {
+  private void recordUnknownResult(Throwable failure) {
     if (failure != null && isFailure(failure, StoreFailure.UNKNOWN_RESULT)) {
       mayHaveTakenEffect = true;
     }
@@ -126,9 +125,10 @@
     if (storeFailure.get() == StoreFailure.TOO_LARGE) {
       return CompletableFuture.failedFuture(tooLarge());
     }
-    boolean pointless = storeFailure.get() == StoreFailure.UNAVAILABLE && !mayHaveTakenEffect;
-    if (pointless || number >= MAXIMUM_TRIES) {
-      return CompletableFuture.failedFuture(storeDown(failure));
+    boolean cannotHaveTakenEffect =
+        storeFailure.get() == StoreFailure.UNAVAILABLE && !mayHaveTakenEffect;
+    if (cannotHaveTakenEffect || number >= MAXIMUM_TRIES) {
+      return CompletableFuture.failedFuture(storeUnavailable(failure));
     }
     return CompletableFuture.completedFuture(number + 1).thenComposeAsync(this::attempt, retries);
   }
@@ -136,15 +136,16 @@
   private ConfigurationRefusedException tooLarge() {
     return new ConfigurationRefusedException(
         List.of(
-            new ConfigurationFault("$", "a document too large", "the store holds one megabyte")));
+            new ConfigurationFault(
+                "$", "a document too large", "the store's limit is one megabyte")));
   }
 
-  private AgatefieldException storeDown(Throwable failure) {
+  private AgatefieldException storeUnavailable(Throwable failure) {
     RunState state = mayHaveTakenEffect ? RunState.UNKNOWN : RunState.NO;
     String message =
         mayHaveTakenEffect
-            ? "the store's answer was lost: the document may be accepted yet; read it back"
-            : "the store cannot be reached; the document was not accepted";
+            ? "the store's response was lost: the document may still be accepted; read it back"
+            : "the store is unreachable; the document was not accepted";
     return new AgatefieldException(ErrorKind.STORE_UNAVAILABLE, state, message, null, failure);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/configuration/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/configuration/package-info.java
@@ -1,2 +1,4 @@
-/** The configuration in force: accepted through the store, learnt by watch, peers and poll. */
+/**
+ * Manages the active configuration: accepted through the store, received by watch, peers and poll.
+ */
 package org.agatefield.daemon.configuration;
--- a/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
+++ b/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
@@ -32,15 +32,15 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Acquires a lease, renews it until closed, and releases it then.
+ * Acquires a lease, renews it until closed, and then releases it.
  *
- * <p>Invariant: at most one call of the store runs at once. State is guarded by the object's lock,
- * which is not held during calls. Safe for use by any thread.
+ * <p>Invariant: at most one call of the store is in flight. Thread-safe: state is guarded by the
+ * object's lock, which is not held during calls.
  */
 public final class LeaseManager implements LeaseView, AutoCloseable {
   private static final Logger LOGGER = LogManager.getLogger(LeaseManager.class);
   private static final long CLOCK_DRIFT_PER_MILLION = 10_000;
-  private static final long RELEASE_LIMIT_SECONDS = 1;
+  private static final long RELEASE_TIMEOUT_SECONDS = 1;
   private static final int RENEWALS_PER_DURATION = 4;
   private static final long NANOSECONDS_PER_MILLISECOND = 1_000_000;
 
@@ -49,12 +49,12 @@
   private final ObjectKey key;
   private final String holder;
   private final LeaseProtocol protocol;
-  private final BooleanSupplier contends;
+  private final BooleanSupplier shouldContend;
   private LeaseState state = LeaseState.unknown();
-  private Optional<StoredObject> lastSeen = Optional.empty();
+  private Optional<StoredObject> lastRead = Optional.empty();
   private long timer = -1;
   private boolean holding;
-  private int trustEpoch;
+  private int grantEpoch;
   private boolean closed;
 
   /**
@@ -70,13 +70,14 @@
   }
 
   /**
-   * Starts to acquire a lease, knowing of some holders that they have ended.
+   * Starts to acquire a lease, which can be taken over at once from a holder that is known to have
+   * ended.
    *
    * @param leaseName the object's name
    * @param holder unique to the process
    * @param duration how long a grant lasts after a write
-   * @param dead true only for holders that are proved to have ended
-   * @param contends whether this process is to acquire the lease if it is free
+   * @param isDead returns true only for holders proven to have ended
+   * @param shouldContend whether this process should acquire the lease if it is free
    */
   public LeaseManager(
       Vertx vertx,
@@ -84,20 +85,20 @@
       String leaseName,
       String holder,
       Duration duration,
-      Predicate<String> dead,
-      BooleanSupplier contends) {
+      Predicate<String> isDead,
+      BooleanSupplier shouldContend) {
     this.vertx = vertx;
     this.store = new ResolvingObjectStore(store);
     this.key = new ObjectKey(ObjectKind.LEASE, leaseName);
     this.holder = holder;
-    this.contends = contends;
+    this.shouldContend = shouldContend;
     long nanoseconds = duration.toNanos();
     this.protocol =
         new LeaseProtocol(
             holder,
             new LeaseTerms(
                 nanoseconds, nanoseconds / RENEWALS_PER_DURATION, CLOCK_DRIFT_PER_MILLION),
-            dead);
+            isDead);
     read();
   }
 
@@ -106,28 +107,28 @@
     return closed ? Optional.empty() : state.grantAt(System.nanoTime());
   }
 
-  /** Reads the lease soon, for a caller that has reason to think that its holder gave it up. */
+  /** Reads the lease soon; called when its holder has probably released it. */
   public synchronized void refresh() {
     if (!closed && state.grantAt(System.nanoTime()).isEmpty()) {
       vertx.cancelTimer(timer);
-      later(0);
+      scheduleRead(0);
     }
   }
 
   /**
-   * Drops the grant until the store has confirmed the lease again, for a caller that has reason to
-   * think that this process stood still. The answer to a write that is under way grants nothing.
+   * Drops the grant until the store has confirmed the lease again; called when this process was
+   * probably suspended. The result of a write in flight grants nothing.
    */
   public synchronized void invalidateGrant() {
     if (closed) {
       return;
     }
-    trustEpoch++;
+    grantEpoch++;
     state = new LeaseState(state.observed(), Optional.empty());
-    noteHolding(System.nanoTime());
+    updateHolding(System.nanoTime());
   }
 
-  /** Stops acting as the holder, then gives the lease up in the store, if it can be reached. */
+  /** Drops the grant, then releases the lease in the store, if the store is reachable. */
   @Override
   public void close() {
     Optional<LeaseDecision.Update> release;
@@ -139,24 +140,25 @@
       closed = true;
       vertx.cancelTimer(timer);
       release = protocol.release(state);
-      previous = lastSeen;
+      previous = lastRead;
     }
     if (release.isPresent() && previous.isPresent()) {
-      awaitBriefly(store.update(previous.get(), newIdentifier(), encode(release.get().lease())));
+      awaitRelease(
+          store.update(previous.get(), newWriteIdentifier(), encode(release.get().lease())));
     }
   }
 
-  /** Waits for the release, so that the store's client is not closed before it is sent. */
-  private static void awaitBriefly(CompletableFuture<StoredObject> release) {
+  /** Waits for the release, so that the store's client is not closed before the release is sent. */
+  private static void awaitRelease(CompletableFuture<StoredObject> release) {
     if (Context.isOnEventLoopThread()) {
       return;
     }
     try {
-      release.get(RELEASE_LIMIT_SECONDS, TimeUnit.SECONDS);
+      release.get(RELEASE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException exception) {
-      LOGGER.debug("lease not released, it lapses", exception);
+      LOGGER.debug("lease not released, it will expire", exception);
     }
   }
 
@@ -164,8 +166,8 @@
     if (closed) {
       return;
     }
-    if (!contends.getAsBoolean()) {
-      schedule(patienceNanoseconds() / RENEWALS_PER_DURATION, this::read);
+    if (!shouldContend.getAsBoolean()) {
+      schedule(leaseDurationNanoseconds() / RENEWALS_PER_DURATION, this::read);
       return;
     }
     store.get(key).whenComplete(this::readCompleted);
@@ -174,15 +176,15 @@
   private void readCompleted(StoredObject found, Throwable failure) {
     Optional<StoreFailure> known = StoreException.failureOf(failure);
     if (failure != null && !known.equals(Optional.of(StoreFailure.NOT_FOUND))) {
-      later(protocol.renewIntervalNanoseconds());
+      scheduleRead(protocol.renewIntervalNanoseconds());
       return;
     }
     synchronized (this) {
       if (failure == null) {
-        lastSeen = Optional.of(found);
+        lastRead = Optional.of(found);
         state = protocol.observe(state, found.resourceVersion(), decode(found), System.nanoTime());
       } else {
-        lastSeen = Optional.empty();
+        lastRead = Optional.empty();
         state = protocol.observeAbsent(state);
       }
     }
@@ -199,12 +201,12 @@
         return;
       }
       decision = protocol.decide(state, now);
-      previous = lastSeen;
-      epoch = trustEpoch;
-      noteHolding(now);
+      previous = lastRead;
+      epoch = grantEpoch;
+      updateHolding(now);
     }
     if (decision instanceof LeaseDecision.Wait wait) {
-      later(Math.min(wait.nanoseconds(), patienceNanoseconds()));
+      scheduleRead(Math.min(wait.nanoseconds(), leaseDurationNanoseconds()));
       return;
     }
     write(decision, previous, now, epoch);
@@ -214,12 +216,12 @@
       LeaseDecision decision, Optional<StoredObject> previous, long sentAt, int epoch) {
     if (decision instanceof LeaseDecision.Update update) {
       store
-          .update(previous.orElseThrow(), newIdentifier(), encode(update.lease()))
+          .update(previous.orElseThrow(), newWriteIdentifier(), encode(update.lease()))
           .whenComplete(
               (object, failure) -> written(update.lease(), object, failure, sentAt, epoch));
     } else if (decision instanceof LeaseDecision.Create create) {
       store
-          .create(key, newIdentifier(), encode(create.lease()))
+          .create(key, newWriteIdentifier(), encode(create.lease()))
           .whenComplete(
               (object, failure) -> written(create.lease(), object, failure, sentAt, epoch));
     }
@@ -229,23 +231,23 @@
       LeaseRecord lease, StoredObject object, Throwable failure, long sentAt, int epoch) {
     if (failure != null) {
       LOGGER.debug("lease write failed lease={} cause={}", key.name(), failure.getMessage());
-      later(protocol.renewIntervalNanoseconds() / RENEWALS_PER_DURATION);
+      scheduleRead(protocol.renewIntervalNanoseconds() / RENEWALS_PER_DURATION);
       return;
     }
     synchronized (this) {
       long now = System.nanoTime();
-      if (epoch != trustEpoch) {
-        later(0);
+      if (epoch != grantEpoch) {
+        scheduleRead(0);
         return;
       }
-      lastSeen = Optional.of(object);
+      lastRead = Optional.of(object);
       state = protocol.written(lease, object.resourceVersion(), sentAt, now);
-      noteHolding(now);
+      updateHolding(now);
     }
     schedule(protocol.renewIntervalNanoseconds(), this::act);
   }
 
-  private void noteHolding(long now) {
+  private void updateHolding(long now) {
     Optional<LeaseGrant> grant = state.grantAt(now);
     if (grant.isPresent() != holding) {
       holding = grant.isPresent();
@@ -258,12 +260,14 @@
     }
   }
 
-  private long patienceNanoseconds() {
+  private long leaseDurationNanoseconds() {
     return protocol.renewIntervalNanoseconds() * RENEWALS_PER_DURATION;
   }
 
-  /** Reads again after a jittered delay, so that challengers do not write at once. */
-  private void later(long nanoseconds) {
+  /**
+   * Reads the lease again after a delay, jittered so that challengers do not write simultaneously.
+   */
+  private void scheduleRead(long nanoseconds) {
     long jitter = ThreadLocalRandom.current().nextLong(protocol.renewIntervalNanoseconds());
     schedule(nanoseconds + jitter / RENEWALS_PER_DURATION, this::read);
   }
@@ -275,7 +279,7 @@
     }
   }
 
-  private static String newIdentifier() {
+  private static String newWriteIdentifier() {
     return UUID.randomUUID().toString();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/leases/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/leases/package-info.java
@@ -1,2 +1,2 @@
-/** Leases of a daemon over the platform's store. */
+/** Manages a daemon's leases in the platform's store. */
 package org.agatefield.daemon.leases;
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LedgerCodec.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LedgerCodec.java
@@ -9,7 +9,7 @@
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.store.StoredObject;
 
-/** Maps ledgers to the content of objects and back. Has no state. */
+/** Converts ledgers to and from the content of stored objects. Stateless. */
 final class LedgerCodec {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -27,7 +27,7 @@
     try {
       return MAPPER.treeToValue(object.content(), RunnerLedger.class);
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException(object.key() + " holds no ledger", exception);
+      throw new IllegalStateException(object.key() + " does not contain a valid ledger", exception);
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LedgerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LedgerDirectory.java
@@ -31,16 +31,16 @@
 import org.agatefield.store.StoredObject;
 
 /**
- * The replicas that the ledgers name, and load reports of the runners that somebody asks about.
+ * Provides the replicas listed in the ledgers, and load reports of the runners that are in use.
  *
- * <p>A report is polled only while it is asked for, so that an instance polls the runners that it
- * sends to and no others. A replica is left out while its engine reports another start than the
- * ledger speaks of. Safe for use by any thread; {@code replicas} is replaced whole under the
- * object's lock.
+ * <p>A runner's report is polled only while it is requested, so an instance polls only the runners
+ * that it sends requests to. A replica is excluded while its engine reports a different boot
+ * identifier than the ledger, which means that the engine has restarted. Thread-safe; {@code
+ * replicas} is replaced as a whole under the object's lock.
  */
 public final class LedgerDirectory implements ReplicaDirectory, AutoCloseable {
   private static final long POLL_MILLISECONDS = 500;
-  private static final long INTEREST_NANOSECONDS = Duration.ofSeconds(30).toNanos();
+  private static final long POLL_AFTER_REQUEST_NANOSECONDS = Duration.ofSeconds(30).toNanos();
 
   private final Vertx vertx;
   private final ConfigurationSource configuration;
@@ -48,12 +48,12 @@
   private final Closer closer = new Closer();
   private final ObjectInformer informer;
   private final Map<String, LoadReport> reports = new ConcurrentHashMap<>();
-  private final Map<String, Long> askedAtNanoseconds = new ConcurrentHashMap<>();
-  private final Set<String> polled = ConcurrentHashMap.newKeySet();
+  private final Map<String, Long> lastRequestNanoseconds = new ConcurrentHashMap<>();
+  private final Set<String> pollsInFlight = ConcurrentHashMap.newKeySet();
   private Map<String, StoredLedger> ledgers = Map.of();
   private volatile List<Replica> replicas = List.of();
 
-  /** Creates a directory; {@link #start()} starts it. */
+  /** Creates a directory, which is inactive until {@link #start()} is called. */
   public LedgerDirectory(
       Vertx vertx,
       ObjectStore store,
@@ -66,13 +66,13 @@
     this.informer = new ObjectInformer(vertx, store, ObjectKind.LEDGER, pollInterval);
   }
 
-  /** Starts to learn the ledgers and to poll reports. */
+  /** Starts watching the ledgers and polling reports. */
   public LedgerDirectory start() {
     informer.listen(
         new InformerListener() {
           @Override
           public void updated(Map<String, StoredObject> objects) {
-            learn(objects);
+            updateLedgers(objects);
           }
         });
     configuration.subscribe(document -> rebuild());
@@ -89,11 +89,11 @@
 
   @Override
   public Optional<LoadReport> loadReport(String upstream) {
-    askedAtNanoseconds.put(upstream, System.nanoTime());
+    lastRequestNanoseconds.put(upstream, System.nanoTime());
     return Optional.ofNullable(reports.get(upstream));
   }
 
-  /** Returns the ledgers as this instance knows them, by runner. */
+  /** Returns the ledgers known to this instance, by runner. */
   public synchronized Map<String, RunnerLedger> ledgers() {
     Map<String, RunnerLedger> copy = new TreeMap<>();
     ledgers.forEach((name, known) -> copy.put(name, known.ledger()));
@@ -105,14 +105,14 @@
     closer.close();
   }
 
-  private synchronized void learn(Map<String, StoredObject> objects) {
-    Map<String, StoredLedger> learnt = new TreeMap<>();
+  private synchronized void updateLedgers(Map<String, StoredObject> objects) {
+    Map<String, StoredLedger> newLedgers = new TreeMap<>();
     for (StoredObject object : objects.values()) {
       StoredLedger known = ledgers.get(object.key().name());
-      boolean same = known != null && known.isOf(object);
-      learnt.put(object.key().name(), same ? known : StoredLedger.of(object));
+      boolean unchanged = known != null && known.isOf(object);
+      newLedgers.put(object.key().name(), unchanged ? known : StoredLedger.of(object));
     }
-    ledgers = learnt;
+    ledgers = newLedgers;
     rebuild();
   }
 
@@ -157,9 +157,11 @@
 
   private void pollReports() {
     long now = System.nanoTime();
-    askedAtNanoseconds.values().removeIf(askedAt -> now - askedAt > INTEREST_NANOSECONDS);
-    reports.keySet().retainAll(askedAtNanoseconds.keySet());
-    for (String upstream : askedAtNanoseconds.keySet()) {
+    lastRequestNanoseconds
+        .values()
+        .removeIf(requestedAt -> now - requestedAt > POLL_AFTER_REQUEST_NANOSECONDS);
+    reports.keySet().retainAll(lastRequestNanoseconds.keySet());
+    for (String upstream : lastRequestNanoseconds.keySet()) {
       configuration
           .current()
           .upstream(upstream)
@@ -169,21 +171,21 @@
   }
 
   private void poll(String upstream, Address address) {
-    if (!polled.add(upstream)) {
+    if (!pollsInFlight.add(upstream)) {
       return;
     }
     engines
         .loadReport(address)
         .whenComplete(
             (report, failure) -> {
-              polled.remove(upstream);
+              pollsInFlight.remove(upstream);
               if (failure == null) {
-                learnReport(upstream, report);
+                updateReport(upstream, report);
               }
             });
   }
 
-  private void learnReport(String upstream, LoadReport report) {
+  private void updateReport(String upstream, LoadReport report) {
     LoadReport earlier = reports.put(upstream, report);
     boolean restarted =
         earlier == null || !earlier.bootIdentifier().equals(report.bootIdentifier());
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LedgerTable.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LedgerTable.java
@@ -16,15 +16,15 @@
 import org.agatefield.store.StoredObject;
 
 /**
- * The ledgers as the planner last read or wrote them, each with its version in the store.
+ * Caches the ledgers as last read or written by the planner, each with its version in the store.
  *
- * <p>Invariant: a ledger is only replaced by a conditional update of the version that it was
- * decided on. Safe for use by any thread; the map is guarded by the object's lock.
+ * <p>Invariant: a ledger is replaced only by a conditional update of the version on which the
+ * decision was based. Thread-safe; state is guarded by the object's lock.
  */
 final class LedgerTable {
   private final ObjectStore store;
   private final Map<String, StoredLedger> ledgers = new HashMap<>();
-  private final Set<String> doubtful = new HashSet<>();
+  private final Set<String> uncertain = new HashSet<>();
 
   LedgerTable(ObjectStore store) {
     this.store = store;
@@ -34,17 +34,20 @@
     return Optional.ofNullable(ledgers.get(upstream)).map(StoredLedger::ledger);
   }
 
-  /** Returns whether the ledger is known and no failed write has put it in doubt. */
+  /**
+   * Returns whether the ledger is known and no write of it is in flight or has failed since it was
+   * read.
+   */
   synchronized boolean isCertain(String upstream) {
-    return ledgers.containsKey(upstream) && !doubtful.contains(upstream);
+    return ledgers.containsKey(upstream) && !uncertain.contains(upstream);
   }
 
   synchronized void clear() {
     ledgers.clear();
-    doubtful.clear();
+    uncertain.clear();
   }
 
-  /** Reads all ledgers anew. */
+  /** Reads all ledgers again. */
   CompletableFuture<Void> readAll() {
     return store
         .list(ObjectKind.LEDGER)
@@ -57,7 +60,7 @@
             });
   }
 
-  /** Reads one ledger anew; forgets it if there is none. */
+  /** Reads one ledger again; removes it from the table if it does not exist. */
   CompletableFuture<Void> read(String upstream) {
     return store
         .get(key(upstream))
@@ -73,15 +76,16 @@
                 forget(upstream);
                 return null;
               }
-              throw new IllegalStateException("ledger of " + upstream + " not read", failure);
+              throw new IllegalStateException(
+                  "ledger of " + upstream + " could not be read", failure);
             });
   }
 
   /**
-   * Writes a ledger in place of the one that the table holds.
+   * Writes a ledger to the store, replacing the version that the table holds.
    *
-   * <p>The future fails if the ledger was changed by somebody else or if it is not known whether
-   * the write took effect; the ledger is in doubt then until it is read again.
+   * <p>The future fails if the ledger was changed by another process or if it is unknown whether
+   * the write took effect. The ledger is uncertain then until it is read again.
    */
   CompletableFuture<Void> write(RunnerLedger ledger) {
     String identifier = UUID.randomUUID().toString();
@@ -94,18 +98,18 @@
   }
 
   private synchronized Optional<StoredObject> beginWrite(String upstream) {
-    doubtful.add(upstream);
+    uncertain.add(upstream);
     return Optional.ofNullable(ledgers.get(upstream)).map(StoredLedger::object);
   }
 
   private synchronized void put(StoredObject object) {
     ledgers.put(object.key().name(), StoredLedger.of(object));
-    doubtful.remove(object.key().name());
+    uncertain.remove(object.key().name());
   }
 
   private synchronized void forget(String upstream) {
     ledgers.remove(upstream);
-    doubtful.remove(upstream);
+    uncertain.remove(upstream);
   }
 
   private static ObjectKey key(String upstream) {
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LoadReportPoller.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LoadReportPoller.java
@@ -7,44 +7,45 @@
 import org.agatefield.placement.RunnerObservation;
 
 /**
- * Asks engines for load reports, one request for each runner at a time.
+ * Requests load reports from engines, with at most one request in flight for each runner.
  *
- * <p>Invariant: a runner's observation is never replaced by one that was asked for earlier.
+ * <p>Invariant: a runner's observation is never replaced by one that was requested earlier.
  * Confined to the planner's context.
  */
 final class LoadReportPoller {
-  private final PlacementContext parts;
+  private final PlacementContext placementContext;
 
-  LoadReportPoller(PlacementContext parts) {
-    this.parts = parts;
+  LoadReportPoller(PlacementContext placementContext) {
+    this.placementContext = placementContext;
   }
 
-  /** Asks a runner, unless it is being asked. */
+  /** Requests a report from a runner, unless a request is in flight. */
   void poll(Upstream runner, RunnerState state) {
     if (!state.startPoll()) {
       return;
     }
-    Context context = parts.vertx().getOrCreateContext();
-    long askedAt = System.nanoTime();
-    parts
+    Context context = placementContext.vertx().getOrCreateContext();
+    long requestedAt = System.nanoTime();
+    placementContext
         .engines()
         .loadReport(runner.address())
         .whenComplete(
             (report, failure) ->
-                context.runOnContext(ignored -> polled(runner, state, askedAt, report)));
+                context.runOnContext(ignored -> pollCompleted(runner, state, requestedAt, report)));
   }
 
-  private void polled(Upstream runner, RunnerState state, long askedAt, LoadReport report) {
+  private void pollCompleted(
+      Upstream runner, RunnerState state, long requestedAt, LoadReport report) {
     state.endPoll();
     if (report == null) {
       return;
     }
-    state.observe(new RunnerObservation(report, askedAt), System.nanoTime());
-    parts
+    state.observe(new RunnerObservation(report, requestedAt), System.nanoTime());
+    placementContext
         .monitor()
         .check(
             Invariant.MEMORY,
             report.usedMegabytes() <= report.memoryMegabytes(),
-            () -> runner.name() + " uses more memory than it has: " + report);
+            () -> runner.name() + " reports more memory used than available: " + report);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/OrderSender.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/OrderSender.java
@@ -14,34 +14,36 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Sends orders to engines, each only while the planner's lease is held.
+ * Sends orders to engines while this instance holds the planner's lease.
  *
- * <p>A pause after the last check of the lease may delay an order beyond the lease; the ledger has
- * counted what the order loads before it was sent. Safe for use by any thread.
+ * <p>A pause of the process after the last lease check may delay an order beyond the end of the
+ * lease. This is safe because the ledger reserves the memory for a load before the order is sent.
+ * Thread-safe.
  */
 final class OrderSender {
   private static final Logger LOGGER = LogManager.getLogger(OrderSender.class);
 
-  private final PlacementContext parts;
-  private final PlacementTimings terms;
+  private final PlacementContext placementContext;
+  private final PlacementTimings timings;
 
-  OrderSender(PlacementContext parts, PlacementTimings terms) {
-    this.parts = parts;
-    this.terms = terms;
+  OrderSender(PlacementContext placementContext, PlacementTimings timings) {
+    this.placementContext = placementContext;
+    this.timings = timings;
   }
 
-  /** Sends an order under the lease with that token; fails if nothing is known of its result. */
+  /** Sends an order under the lease with the given token; fails if its result is unknown. */
   CompletableFuture<OrderResult> send(Upstream runner, PlannedOrder order, long leaseToken) {
-    Optional<LeaseGrant> grant = parts.lease().currentGrant();
+    Optional<LeaseGrant> grant = placementContext.lease().currentGrant();
     if (grant.filter(each -> each.fencingToken() == leaseToken).isEmpty()) {
-      return CompletableFuture.failedFuture(new IllegalStateException("the lease is lost"));
+      return CompletableFuture.failedFuture(
+          new IllegalStateException("the planner's lease was lost"));
     }
-    parts.hook().reached(FailPoint.BEFORE_ORDER, runner.name());
-    parts.metrics().counter("agatefield.placement.orders").inc();
-    return parts
+    placementContext.hook().reached(FailPoint.BEFORE_ORDER, runner.name());
+    placementContext.metrics().counter("agatefield.placement.orders").inc();
+    return placementContext
         .engines()
         .order(runner.address(), engineOrder(order))
-        .orTimeout(terms.orderTimeout().toMillis(), TimeUnit.MILLISECONDS)
+        .orTimeout(timings.orderTimeout().toMillis(), TimeUnit.MILLISECONDS)
         .whenComplete((result, failure) -> log(runner, order, result, failure));
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementContext.java
@@ -12,18 +12,18 @@
 import org.agatefield.store.ObjectStore;
 
 /**
- * What the planner's duty works with. Immutable.
+ * Groups the collaborators of the placement controller. Immutable.
  *
- * @param vertx runs the rounds
- * @param store holds the ledgers
- * @param engines sends orders
- * @param lease whether this instance is the planner
- * @param configuration what is wanted
- * @param demand of all instances
- * @param instances names the leaving upstreams
- * @param monitor told of violations
+ * @param vertx runs the planning rounds
+ * @param store stores the ledgers
+ * @param engines sends orders and requests load reports
+ * @param lease provides whether this instance is the planner
+ * @param configuration provides the desired state
+ * @param demand provides the demand of all instances
+ * @param instances lists the leaving upstreams
+ * @param monitor records violations of invariants
  * @param metrics counts moves and orders
- * @param hook told of steps
+ * @param hook called at fail points
  */
 public record PlacementContext(
     Vertx vertx,
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -33,19 +33,19 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Plans placements and orders engines, while this instance holds the planner's lease.
+ * Plans placements and sends orders to engines while this instance holds the planner's lease.
  *
- * <p>Invariants: a ledger is written before the order that it allows is sent; a new planner writes
- * its token into every ledger before its first order, so that whatever an earlier planner decided
- * on older ledgers can no longer be written; one write or order runs for a runner at a time. All
- * state is confined to one Vert.x context.
+ * <p>Invariants: a ledger is written before the order that depends on it is sent; a new planner
+ * writes its token into every ledger before its first order, so that decisions of an earlier
+ * planner based on older ledgers can no longer be written; at most one write or order is in flight
+ * for each runner. All state is confined to one Vert.x context.
  */
 public final class PlacementController implements AutoCloseable {
   private static final Logger LOGGER = LogManager.getLogger(PlacementController.class);
   private static final long NO_LEASE = -1;
 
-  private final PlacementContext parts;
-  private final PlacementTimings terms;
+  private final PlacementContext placementContext;
+  private final PlacementTimings timings;
   private final PlacementPlanner planner;
   private final RunnerSteps steps;
   private final LedgerTable table;
@@ -62,46 +62,46 @@
   private long takenOverAtNanoseconds;
   private LoadBudget budget = LoadBudget.startingAt(System.nanoTime());
 
-  /** Creates a duty; {@link #start()} starts it. */
+  /** Creates a controller, which is inactive until {@link #start()} is called. */
   public PlacementController(
-      PlacementContext parts, PlacementTimings terms, PlacementPolicy policy) {
-    this.parts = parts;
-    this.terms = terms;
-    this.table = new LedgerTable(parts.store());
+      PlacementContext placementContext, PlacementTimings timings, PlacementPolicy policy) {
+    this.placementContext = placementContext;
+    this.timings = timings;
+    this.table = new LedgerTable(placementContext.store());
     this.takeover = new PlannerTakeover(table);
-    this.sender = new OrderSender(parts, terms);
-    this.reports = new LoadReportPoller(parts);
-    this.steps = new RunnerSteps(terms.orderQuarantine().toNanos());
+    this.sender = new OrderSender(placementContext, timings);
+    this.reports = new LoadReportPoller(placementContext);
+    this.steps = new RunnerSteps(timings.orderQuarantine().toNanos());
     DrainRules drainRules =
-        new DrainRules(terms.minimumDrain().toNanos(), terms.maximumDrain().toNanos());
+        new DrainRules(timings.minimumDrain().toNanos(), timings.maximumDrain().toNanos());
     this.planner = new PlacementPlanner(policy, drainRules);
   }
 
-  /** Starts the rounds. */
+  /** Starts the periodic planning rounds. */
   public PlacementController start() {
-    context = parts.vertx().getOrCreateContext();
+    context = placementContext.vertx().getOrCreateContext();
     timer =
-        parts
+        placementContext
             .vertx()
             .setPeriodic(
-                terms.roundInterval().toMillis(),
+                timings.roundInterval().toMillis(),
                 fired -> context.runOnContext(ignored -> round()));
     return this;
   }
 
   @Override
   public void close() {
-    parts.vertx().cancelTimer(timer);
+    placementContext.vertx().cancelTimer(timer);
   }
 
   private void round() {
-    Optional<LeaseGrant> grant = parts.lease().currentGrant();
+    Optional<LeaseGrant> grant = placementContext.lease().currentGrant();
     if (grant.isEmpty()) {
-      forgetLease();
+      resetLease();
       return;
     }
     if (grant.get().fencingToken() != heldToken) {
-      forgetLease();
+      resetLease();
       heldToken = grant.get().fencingToken();
     }
     if (!takenOver) {
@@ -111,10 +111,10 @@
     List<Upstream> configured = modelRunners();
     configured.forEach(each -> reports.poll(each, state(each)));
     configured.forEach(this::advance);
-    decide(configured);
+    planMoves(configured);
   }
 
-  private void forgetLease() {
+  private void resetLease() {
     if (heldToken != NO_LEASE) {
       LOGGER.info("planner lease ended token={}", heldToken);
     }
@@ -126,7 +126,7 @@
   }
 
   private List<Upstream> modelRunners() {
-    return parts.configuration().current().upstreams().stream()
+    return placementContext.configuration().current().upstreams().stream()
         .filter(each -> each.kind() == UpstreamKind.MODEL_RUNNER)
         .toList();
   }
@@ -162,7 +162,7 @@
     return runners.computeIfAbsent(runner.name(), created -> new RunnerState());
   }
 
-  /** Takes the next step of a runner, unless one is being taken. */
+  /** Starts the next step of a runner, unless a step is in progress. */
   private void advance(Upstream runner) {
     RunnerState state = state(runner);
     if (state.isBusy()) {
@@ -175,16 +175,18 @@
     }
     long now = System.nanoTime();
     ages.observe(ledger.get(), now);
-    if (!state.isAlive(now, terms.reportLifetime().toNanos())) {
+    if (!state.isAlive(now, timings.reportLifetime().toNanos())) {
       return;
     }
     state
-        .evidence()
+        .freshObservation()
         .flatMap(seen -> steps.next(ledger.get(), seen, runner.checksFencingTokens(), ages, now))
         .ifPresent(step -> take(runner, state, ledger.get(), step));
   }
 
-  /** Returns whether the ledger is known, fits the configuration and carries this lease's token. */
+  /**
+   * Returns whether the ledger is known, matches the configuration and contains this lease's token.
+   */
   private boolean isReady(Upstream runner, Optional<RunnerLedger> ledger) {
     return table.isCertain(runner.name())
         && ledger
@@ -193,7 +195,7 @@
             .isPresent();
   }
 
-  /** Reads a ledger that is not known, or writes one that does not fit the configuration. */
+  /** Reads a runner's ledger again and writes the token and the configured memory into it. */
   private void renew(Upstream runner, RunnerState state) {
     state.begin();
     long token = heldToken;
@@ -205,7 +207,7 @@
     long token = heldToken;
     LOGGER.info("placement step upstream={} reason=\"{}\"", runner.name(), step.reason());
     if (step.releasesMemory()) {
-      parts.hook().reached(FailPoint.BEFORE_RELEASE, runner.name());
+      placementContext.hook().reached(FailPoint.BEFORE_RELEASE, runner.name());
     }
     CompletableFuture<Void> written =
         step.ledger().equals(before)
@@ -222,27 +224,32 @@
 
   private CompletableFuture<Void> send(
       Upstream runner, RunnerState state, PlannedOrder order, long token) {
-    long sentAt = System.nanoTime();
+    long sentNanoseconds = System.nanoTime();
     return sender
         .send(runner, order, token)
         .handle(
             (result, failure) -> {
-              context.runOnContext(ignored -> orderEnded(runner, state, order, sentAt, result));
+              context.runOnContext(
+                  ignored -> orderEnded(runner, state, order, sentNanoseconds, result));
               return null;
             });
   }
 
   private void orderEnded(
-      Upstream runner, RunnerState state, PlannedOrder order, long sentAt, OrderResult result) {
+      Upstream runner,
+      RunnerState state,
+      PlannedOrder order,
+      long sentNanoseconds,
+      OrderResult result) {
     state.orderEnded(System.nanoTime());
-    parts
+    placementContext
         .monitor()
         .check(
             Invariant.MEMORY,
             result != OrderResult.REFUSED_NO_MEMORY,
-            () -> runner.name() + " had no memory for what its ledger reserved: " + order);
+            () -> runner.name() + " lacked memory that its ledger had reserved: " + order);
     if (result == OrderResult.DONE && order.action() == PlannedOrder.Action.UNLOAD) {
-      ages.unloaded(runner.name(), order.version(), order.fencingToken(), sentAt);
+      ages.unloaded(runner.name(), order.version(), order.fencingToken(), sentNanoseconds);
     }
   }
 
@@ -257,30 +264,32 @@
         });
   }
 
-  private void decide(List<Upstream> configured) {
+  private void planMoves(List<Upstream> configured) {
     long now = System.nanoTime();
-    if (!hasHeardOf(configured, now)) {
+    if (!haveAllReported(configured, now)) {
       return;
     }
-    budget = budget.refill(parts.configuration().current().weightStore(), now);
+    budget = budget.refill(placementContext.configuration().current().weightStore(), now);
     Optional<PlacementInput> input = input(configured, now);
     if (input.isEmpty()) {
       return;
     }
     List<PlannedMove> moves = planner.plan(input.get());
     for (PlannedMove move : moves) {
-      perform(move, input.get(), moves.size());
+      executeMove(move, input.get(), moves.size());
     }
   }
 
-  /** Returns whether every runner has reported, or has had the time to since the takeover. */
-  private boolean hasHeardOf(List<Upstream> configured, long now) {
-    long lifetime = terms.reportLifetime().toNanos();
+  /**
+   * Returns whether every runner has reported, or has had enough time to report since the takeover.
+   */
+  private boolean haveAllReported(List<Upstream> configured, long now) {
+    long lifetime = timings.reportLifetime().toNanos();
     return now - takenOverAtNanoseconds > lifetime
         || configured.stream().allMatch(each -> state(each).isAlive(now, lifetime));
   }
 
-  /** Returns what to decide on, unless a ledger is not known or not taken over. */
+  /** Returns the planner's input; empty if a ledger is unknown or not taken over. */
   private Optional<PlacementInput> input(List<Upstream> configured, long now) {
     List<RunnerView> views = new ArrayList<>();
     for (Upstream runner : configured) {
@@ -290,22 +299,22 @@
         return Optional.empty();
       }
       boolean available =
-          state.isAlive(now, terms.reportLifetime().toNanos())
-              && !parts.instances().leavingUpstreams().contains(runner.name());
+          state.isAlive(now, timings.reportLifetime().toNanos())
+              && !placementContext.instances().leavingUpstreams().contains(runner.name());
       Optional<LoadReport> report = state.observation().map(RunnerObservation::report);
       views.add(new RunnerView(runner, ledger.get(), report, available));
     }
     return Optional.of(
         new PlacementInput(
-            parts.configuration().current(),
+            placementContext.configuration().current(),
             views,
-            parts.demand().totalDemand(),
+            placementContext.demand().totalDemand(),
             ages,
             budget.available(),
             now));
   }
 
-  private void perform(PlannedMove move, PlacementInput input, int candidates) {
+  private void executeMove(PlannedMove move, PlacementInput input, int candidates) {
     Upstream runner = input.configuration().upstream(move.upstream()).orElseThrow();
     RunnerState state = state(runner);
     Optional<RunnerLedger> ledger = table.get(runner.name());
@@ -320,7 +329,7 @@
         candidates,
         input.runners().size(),
         move.reason());
-    parts.metrics().counter("agatefield.placement.moves." + move.kind()).inc();
+    placementContext.metrics().counter("agatefield.placement.moves." + move.kind()).inc();
     RunnerLedger next =
         move.applyTo(ledger.get(), ReplicaSize.of(input.configuration(), move.version()));
     state.begin();
@@ -329,13 +338,13 @@
     }
     table
         .write(next)
-        .thenRun(() -> reserved(move))
+        .thenRun(() -> memoryReserved(move))
         .whenComplete((done, failure) -> ended(runner, state, failure));
   }
 
-  private void reserved(PlannedMove move) {
+  private void memoryReserved(PlannedMove move) {
     if (move.kind() == MoveKind.LOAD) {
-      parts.hook().reached(FailPoint.AFTER_RESERVATION, move.upstream());
+      placementContext.hook().reached(FailPoint.AFTER_RESERVATION, move.upstream());
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementTimings.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementTimings.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * The times of the planner's duty. Immutable.
+ * Defines the intervals and timeouts of the placement controller. Immutable.
  *
- * @param roundInterval how often it polls engines and decides
- * @param orderTimeout how long an order may go without an answer before it is sent again
+ * @param roundInterval interval at which engines are polled and placements are planned
+ * @param orderTimeout how long an order may remain without a response before it is sent again
  * @param orderQuarantine how long an order may still take effect at an engine that ignores fencing
  *     tokens
- * @param minimumDrain how long every instance needs to learn that a replica drains
- * @param maximumDrain how long requests that run on a draining replica may take to end
- * @param reportLifetime age above which a load report no longer shows that an engine is alive
+ * @param minimumDrain how long it takes until every instance knows that a replica is draining
+ * @param maximumDrain maximum time for requests on a draining replica to finish
+ * @param reportLifetime age above which a load report no longer proves that an engine is alive
  */
 public record PlacementTimings(
     Duration roundInterval,
@@ -20,7 +20,7 @@
     Duration minimumDrain,
     Duration maximumDrain,
     Duration reportLifetime) {
-  /** Returns the terms of a daemon with the given quarantine and longest request. */
+  /** Returns the default timings with the given quarantine and maximum request duration. */
   public static PlacementTimings standard(Duration orderQuarantine, Duration longestRequest) {
     return new PlacementTimings(
         Duration.ofMillis(500),
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlannerTakeover.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlannerTakeover.java
@@ -8,10 +8,10 @@
 import org.agatefield.placement.RunnerLedger;
 
 /**
- * Makes this instance's planner the only one that can change ledgers.
+ * Makes this instance's planner the only one that can modify ledgers.
  *
- * <p>Invariant: once a takeover has completed, no write that an earlier planner decided on ledgers
- * read before it can succeed, since every ledger has another version. Safe for use by any thread.
+ * <p>Invariant: once a takeover has completed, no write of an earlier planner based on ledgers read
+ * before the takeover can succeed, because every ledger has a new version. Thread-safe.
  */
 final class PlannerTakeover {
   private final LedgerTable table;
@@ -20,7 +20,7 @@
     this.table = table;
   }
 
-  /** Reads every ledger and writes the planner's token into that of each configured runner. */
+  /** Reads all ledgers and writes the planner's token into the ledger of each configured runner. */
   CompletableFuture<Void> run(List<Upstream> runners, long leaseToken) {
     return table.readAll().thenCompose(read -> writeTokens(runners, leaseToken));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/RunnerState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/RunnerState.java
@@ -3,9 +3,7 @@
 import java.util.Optional;
 import org.agatefield.placement.RunnerObservation;
 
-/**
- * What the planner keeps of one runner while it holds the lease. Confined to the planner's context.
- */
+/** Tracks one runner while this instance is the planner. Confined to the planner's context. */
 final class RunnerState {
   private Optional<RunnerObservation> observation = Optional.empty();
   private long reportedAtNanoseconds = Long.MIN_VALUE;
@@ -37,8 +35,8 @@
         && nowNanoseconds - reportedAtNanoseconds <= reportLifetimeNanoseconds;
   }
 
-  /** Returns the observation if it was asked for after the last order to the runner had ended. */
-  Optional<RunnerObservation> evidence() {
+  /** Returns the observation if it was requested after the last order to the runner had ended. */
+  Optional<RunnerObservation> freshObservation() {
     return observation.filter(
         each ->
             lastOrderEndedNanoseconds == Long.MIN_VALUE
--- a/daemon/src/main/java/org/agatefield/daemon/placing/StoredLedger.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/StoredLedger.java
@@ -4,10 +4,10 @@
 import org.agatefield.store.StoredObject;
 
 /**
- * A ledger as the store holds it. Immutable.
+ * A ledger with the stored object that it was decoded from. Immutable.
  *
  * @param object the stored object
- * @param ledger what it holds
+ * @param ledger the decoded content
  */
 record StoredLedger(StoredObject object, RunnerLedger ledger) {
   static StoredLedger of(StoredObject object) {
--- a/daemon/src/main/java/org/agatefield/daemon/placing/package-info.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/package-info.java
@@ -1,2 +1,5 @@
-/** The planner's duty: ledgers in the store, orders to engines; and the replicas they name. */
+/**
+ * Controls the placement of models by ledgers in the store and orders to engines, and provides the
+ * resulting replicas.
+ */
 package org.agatefield.daemon.placing;
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
@@ -17,8 +17,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Operators who race each other at several instances, over a store and peers whose order a seed
- * decides. Used from one thread.
+ * Simulates operators who concurrently submit documents at several instances. The order of store
+ * calls and peer messages is determined by a seed. Not thread-safe.
  */
 final class ConcurrentOperatorsSimulation {
   private static final int INSTANCES = 3;
@@ -31,35 +31,36 @@
   private final List<List<ConfigurationDocument>> adopted = new ArrayList<>();
   private final Map<ConfigurationDocument, String> answers = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
-  private final boolean adoptAnything;
+  private final boolean adoptAnyGeneration;
   private int documents;
 
   /**
-   * Creates a race.
+   * Creates a simulation.
    *
-   * @param adoptAnything whether instances adopt what they hear last, also an earlier document
+   * @param adoptAnyGeneration whether instances adopt every document they receive, even one of an
+   *     earlier generation
    */
   ConcurrentOperatorsSimulation(
-      long seed, Set<RandomOrderStore.Mechanism> off, boolean adoptAnything) {
+      long seed, Set<RandomOrderStore.Mechanism> disabled, boolean adoptAnyGeneration) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    this.store = new RandomOrderStore(random, off);
+    this.store = new RandomOrderStore(random, disabled);
     this.history = new ConfigurationHistory(store);
-    this.adoptAnything = adoptAnything;
+    this.adoptAnyGeneration = adoptAnyGeneration;
     for (int i = 0; i < INSTANCES; i++) {
       ActiveConfiguration instance = new ActiveConfiguration(new Monitor());
-      List<ConfigurationDocument> heard = new ArrayList<>();
-      instance.subscribe(heard::add);
+      List<ConfigurationDocument> received = new ArrayList<>();
+      instance.subscribe(received::add);
       instances.add(instance);
-      adopted.add(heard);
+      adopted.add(received);
     }
   }
 
-  /** Runs to the end and returns every violation. */
+  /** Runs the simulation and returns all violations. */
   List<String> run() {
     for (int i = 0; i < STEPS; i++) {
       act(random.nextInt(10));
     }
-    while (store.runOne()) {
+    while (store.runNext()) {
       continue;
     }
     checkAdopted();
@@ -68,7 +69,7 @@
     return violations;
   }
 
-  /** Returns how many documents were accepted. */
+  /** Returns the number of accepted documents. */
   int accepted() {
     return acceptedDocuments().size();
   }
@@ -78,16 +79,16 @@
     if (choice == 0) {
       apply(instance);
     } else if (choice == 1) {
-      learnFromStore(instance);
+      receiveFromStore(instance);
     } else if (choice == 2) {
       List<ConfigurationDocument> peer = adopted.get(random.nextInt(INSTANCES));
       offer(instance, peer.get(random.nextInt(peer.size())));
     } else {
-      store.runOne();
+      store.runNext();
     }
   }
 
-  /** An operator changes what an instance has in force, perhaps long out of date. */
+  /** Submits a change to an instance's active document, which may be outdated. */
   private void apply(int instance) {
     documents++;
     ConfigurationDocument base = instances.get(instance).current();
@@ -119,8 +120,8 @@
     answers.put(document, state == RunState.NO ? "refused" : "unknown");
   }
 
-  /** A watch or list reports any version that the object ever had. */
-  private void learnFromStore(int instance) {
+  /** Delivers a random version of the object, as a lagging watch or list might. */
+  private void receiveFromStore(int instance) {
     List<StoredObject> versions = store.versionsOf(ConfigurationUpdate.CURRENT);
     if (!versions.isEmpty()) {
       StoredObject version = versions.get(random.nextInt(versions.size()));
@@ -129,7 +130,7 @@
   }
 
   private void offer(int instance, ConfigurationDocument document) {
-    if (adoptAnything) {
+    if (adoptAnyGeneration) {
       adopted.get(instance).add(document);
       return;
     }
@@ -144,9 +145,9 @@
   }
 
   private void checkAdopted() {
-    for (List<ConfigurationDocument> heard : adopted) {
+    for (List<ConfigurationDocument> received : adopted) {
       long generation = -1;
-      for (ConfigurationDocument document : heard) {
+      for (ConfigurationDocument document : received) {
         if (document.generation() <= generation) {
           violations.add("generation " + document.generation() + " after " + generation);
         }
@@ -167,7 +168,7 @@
         });
   }
 
-  /** Each accepted document replaced the one that it was written against. */
+  /** Checks that each accepted document replaced the one that it is based on. */
   private void checkSuccession() {
     long generation = 0;
     for (ConfigurationDocument document : acceptedDocuments()) {
@@ -178,7 +179,7 @@
     }
   }
 
-  /** Counts what the instance itself reports. */
+  /** Collects the violations reported by the instances themselves. */
   private final class Monitor implements InvariantMonitor {
     @Override
     public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
@@ -19,36 +19,40 @@
   private static final int SEEDS = 200;
 
   @Property(tries = 500, seed = "42")
-  void acceptedDocumentsAreNeverUndoneAndAnswersAreTrue(@ForAll long seed) {
+  void acceptedDocumentsAreNeverRevertedAndResultsAreCorrect(@ForAll long seed) {
     assertEquals(List.of(), new ConcurrentOperatorsSimulation(seed, Set.of(), false).run());
   }
 
   @Test
-  void racesHaveDocumentsAccepted() {
+  void simulationsAcceptDocuments() {
     int accepted = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
-      ConcurrentOperatorsSimulation race = new ConcurrentOperatorsSimulation(seed, Set.of(), false);
-      race.run();
-      accepted += race.accepted();
+      ConcurrentOperatorsSimulation simulation =
+          new ConcurrentOperatorsSimulation(seed, Set.of(), false);
+      simulation.run();
+      accepted += simulation.accepted();
     }
-    assertTrue(accepted > 2 * SEEDS, "only " + accepted);
+    assertTrue(accepted > 2 * SEEDS, "only accepted " + accepted);
   }
 
   @ParameterizedTest
   @EnumSource(Mechanism.class)
-  void withoutAnyOneMechanismSomeRaceFails(Mechanism mechanism) {
-    assertTrue(failures(EnumSet.of(mechanism), false) > 0, mechanism + " prevents nothing");
+  void disablingAnyMechanismCausesViolations(Mechanism mechanism) {
+    assertTrue(failures(EnumSet.of(mechanism), false) > 0, mechanism + " prevents no violation");
   }
 
   @Test
-  void adoptingWhateverComesLastFails() {
+  void adoptingAnyGenerationCausesViolations() {
     assertTrue(failures(Set.of(), true) > 0);
   }
 
-  private static long failures(Set<Mechanism> off, boolean adoptAnything) {
+  private static long failures(Set<Mechanism> disabled, boolean adoptAnyGeneration) {
     return LongStream.range(0, SEEDS)
         .filter(
-            seed -> !new ConcurrentOperatorsSimulation(seed, off, adoptAnything).run().isEmpty())
+            seed ->
+                !new ConcurrentOperatorsSimulation(seed, disabled, adoptAnyGeneration)
+                    .run()
+                    .isEmpty())
         .count();
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
@@ -22,35 +22,35 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A store in memory whose calls take effect and are answered in an order that a seed decides.
+ * An in-memory store whose calls take effect and complete in an order determined by a seed.
  *
- * <p>Answers are lost, with or without effect, and effects may come long after the answer was given
- * up; reads may lag. Used from one thread.
+ * <p>Responses may be lost, with or without effect; a call may take effect long after it was
+ * reported as unknown; reads may be stale. Not thread-safe.
  */
 final class RandomOrderStore implements ObjectStore, Executor {
-  /** What a test may switch off. */
+  /** Mechanisms of the store that a test can disable. */
   enum Mechanism {
     /** Updates are conditional on the version. */
     CONDITIONAL_UPDATE,
-    /** Objects keep the identifiers of the writes that made them. */
+    /** Objects contain the identifiers of the writes that produced them. */
     WRITE_IDENTIFIERS
   }
 
-  private static final int IDENTIFIERS = 16;
+  private static final int MAXIMUM_IDENTIFIERS = 16;
 
   private final UniformRandomProvider random;
-  private final Set<Mechanism> off;
+  private final Set<Mechanism> disabled;
   private final Map<ObjectKey, List<StoredObject>> versions = new HashMap<>();
   private final List<Runnable> pending = new ArrayList<>();
   private int lastVersion;
 
-  RandomOrderStore(UniformRandomProvider random, Set<Mechanism> off) {
+  RandomOrderStore(UniformRandomProvider random, Set<Mechanism> disabled) {
     this.random = random;
-    this.off = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
+    this.disabled = disabled.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(disabled);
   }
 
-  /** Runs one pending call or answer, chosen by the seed; returns whether there was one. */
-  boolean runOne() {
+  /** Runs one randomly chosen pending call or response; returns whether there was one. */
+  boolean runNext() {
     if (pending.isEmpty()) {
       return false;
     }
@@ -58,7 +58,7 @@
     return true;
   }
 
-  /** Returns every version that the object ever had, oldest first. */
+  /** Returns all versions of the object, oldest first. */
   List<StoredObject> versionsOf(ObjectKey key) {
     return versions.getOrDefault(key, List.of());
   }
@@ -83,7 +83,7 @@
       throw new StoreException(StoreFailure.NOT_FOUND, key.toString());
     }
     StoredObject found = known.get(position);
-    return off.contains(Mechanism.WRITE_IDENTIFIERS)
+    return disabled.contains(Mechanism.WRITE_IDENTIFIERS)
         ? new StoredObject(key, found.resourceVersion(), List.of(), found.content())
         : found;
   }
@@ -119,37 +119,37 @@
     List<StoredObject> known = versions.computeIfAbsent(key, created -> new ArrayList<>());
     Optional<StoredObject> current =
         known.isEmpty() ? Optional.empty() : Optional.of(known.get(known.size() - 1));
-    boolean holds =
+    boolean conditionHolds =
         current
             .map(StoredObject::resourceVersion)
             .equals(previous.map(StoredObject::resourceVersion));
-    if (!holds && !off.contains(Mechanism.CONDITIONAL_UPDATE)) {
+    if (!conditionHolds && !disabled.contains(Mechanism.CONDITIONAL_UPDATE)) {
       throw new StoreException(
           previous.isEmpty() ? StoreFailure.ALREADY_EXISTS : StoreFailure.CONFLICT, "changed");
     }
     List<String> identifiers = new ArrayList<>(List.of(identifier));
     current.ifPresent(each -> identifiers.addAll(each.writeIdentifiers()));
-    List<String> kept = identifiers.subList(0, Math.min(IDENTIFIERS, identifiers.size()));
+    List<String> kept = identifiers.subList(0, Math.min(MAXIMUM_IDENTIFIERS, identifiers.size()));
     StoredObject written = new StoredObject(key, Integer.toString(++lastVersion), kept, content);
     known.add(written);
     return written;
   }
 
-  /** What a call does when it takes effect. */
+  /** The effect of a call on the stored objects. */
   private interface Effect {
-    StoredObject take();
+    StoredObject apply();
   }
 
   private static void complete(CompletableFuture<StoredObject> answer, Effect effect) {
     try {
-      answer.complete(effect.take());
+      answer.complete(effect.apply());
     } catch (StoreException exception) {
       answer.completeExceptionally(exception);
     }
   }
 
   private static void fail(CompletableFuture<StoredObject> answer, StoreFailure failure) {
-    answer.completeExceptionally(new StoreException(failure, "a fault of the test"));
+    answer.completeExceptionally(new StoreException(failure, "injected by the test"));
   }
 
   @Override
