--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -212,14 +212,14 @@
       process(new ClaimEvent.Absent<>());
       return;
     }
-    Claim<ServiceResponse> seen = found.get().claim();
+    Claim<ServiceResponse> foundClaim = found.get().claim();
     synchronized (this) {
       lastRead = found;
-      if (seen.attemptId().equals(arrival.attemptId())) {
+      if (foundClaim.attemptId().equals(arrival.attemptId())) {
         ownClaim = found;
       }
     }
-    process(new ClaimEvent.Found<>(seen, context.holderStates().stateOf(seen)));
+    process(new ClaimEvent.Found<>(foundClaim, context.holderStates().stateOf(foundClaim)));
   }
 
   private void acquired(Dispatch chosen, Throwable failure) {
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -271,11 +271,11 @@
     for (Candidate candidate : eligible) {
       heldInRegion |= candidate.region().equals(region);
     }
-    boolean mayCross =
+    boolean mayLeaveRegion =
         !heldInRegion || crossing.isWorth(queue.expectedDrainNanoseconds(pending.target.name()));
     List<Candidate> candidatesWithCapacity = new ArrayList<>(eligible.size());
     for (Candidate candidate : eligible) {
-      if (candidate.hasPlace() && (mayCross || candidate.region().equals(region))) {
+      if (candidate.hasPlace() && (mayLeaveRegion || candidate.region().equals(region))) {
         candidatesWithCapacity.add(candidate);
       }
     }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/TargetIndex.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/TargetIndex.java
@@ -74,8 +74,8 @@
   }
 
   int weightOf(String caller) {
-    Caller known = callers.get(caller);
-    return known == null ? 1 : known.weight();
+    Caller configured = callers.get(caller);
+    return configured == null ? 1 : configured.weight();
   }
 
   boolean hasService(String service) {
--- a/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
+++ b/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
@@ -51,7 +51,7 @@
   private final LeaseProtocol protocol;
   private final BooleanSupplier shouldContend;
   private LeaseState state = LeaseState.unknown();
-  private Optional<StoredObject> lastRead = Optional.empty();
+  private Optional<StoredObject> latestObject = Optional.empty();
   private long timer = -1;
   private boolean holding;
   private int grantEpoch;
@@ -140,7 +140,7 @@
       closed = true;
       vertx.cancelTimer(timer);
       release = protocol.release(state);
-      previous = lastRead;
+      previous = latestObject;
     }
     if (release.isPresent() && previous.isPresent()) {
       awaitRelease(
@@ -181,10 +181,10 @@
     }
     synchronized (this) {
       if (failure == null) {
-        lastRead = Optional.of(found);
+        latestObject = Optional.of(found);
         state = protocol.observe(state, found.resourceVersion(), decode(found), System.nanoTime());
       } else {
-        lastRead = Optional.empty();
+        latestObject = Optional.empty();
         state = protocol.observeAbsent(state);
       }
     }
@@ -201,7 +201,7 @@
         return;
       }
       decision = protocol.decide(state, now);
-      previous = lastRead;
+      previous = latestObject;
       epoch = grantEpoch;
       updateHolding(now);
     }
@@ -240,7 +240,7 @@
         scheduleRead(0);
         return;
       }
-      lastRead = Optional.of(object);
+      latestObject = Optional.of(object);
       state = protocol.written(lease, object.resourceVersion(), sentAt, now);
       updateHolding(now);
     }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/LedgerTable.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/LedgerTable.java
@@ -73,7 +73,7 @@
               if (StoreException.failureOf(failure)
                   .filter(StoreFailure.NOT_FOUND::equals)
                   .isPresent()) {
-                forget(upstream);
+                discard(upstream);
                 return null;
               }
               throw new IllegalStateException(
@@ -107,7 +107,7 @@
     uncertain.remove(object.key().name());
   }
 
-  private synchronized void forget(String upstream) {
+  private synchronized void discard(String upstream) {
     ledgers.remove(upstream);
     uncertain.remove(upstream);
   }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -199,7 +199,9 @@
   private void renew(Upstream runner, RunnerState state) {
     state.begin();
     long token = heldToken;
-    takeover.renew(runner, token).whenComplete((done, failure) -> ended(runner, state, failure));
+    takeover
+        .renew(runner, token)
+        .whenComplete((done, failure) -> operationEnded(runner, state, failure));
   }
 
   private void take(Upstream runner, RunnerState state, RunnerLedger before, RunnerStep step) {
@@ -219,7 +221,7 @@
                 step.order()
                     .map(order -> send(runner, state, order, token))
                     .orElseGet(() -> CompletableFuture.completedFuture(null)))
-        .whenComplete((done, failure) -> ended(runner, state, failure));
+        .whenComplete((done, failure) -> operationEnded(runner, state, failure));
   }
 
   private CompletableFuture<Void> send(
@@ -253,7 +255,7 @@
     }
   }
 
-  private void ended(Upstream runner, RunnerState state, Throwable failure) {
+  private void operationEnded(Upstream runner, RunnerState state, Throwable failure) {
     context.runOnContext(
         ignored -> {
           state.end();
@@ -339,7 +341,7 @@
     table
         .write(next)
         .thenRun(() -> memoryReserved(move))
-        .whenComplete((done, failure) -> ended(runner, state, failure));
+        .whenComplete((done, failure) -> operationEnded(runner, state, failure));
   }
 
   private void memoryReserved(PlannedMove move) {
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
@@ -29,7 +29,7 @@
   private final ConfigurationHistory history;
   private final List<ActiveConfiguration> instances = new ArrayList<>();
   private final List<List<ConfigurationDocument>> adopted = new ArrayList<>();
-  private final Map<ConfigurationDocument, String> answers = new HashMap<>();
+  private final Map<ConfigurationDocument, String> results = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
   private final boolean adoptAnyGeneration;
   private int documents;
@@ -64,7 +64,7 @@
       continue;
     }
     checkAdopted();
-    checkAnswers();
+    checkResults();
     checkSuccession();
     return violations;
   }
@@ -103,21 +103,21 @@
             new WeightStoreLimits(documents, 1, 1));
     new ConfigurationUpdate(store, history, document, store)
         .run()
-        .whenComplete((accepted, failure) -> answered(instance, document, accepted, failure));
+        .whenComplete((accepted, failure) -> completed(instance, document, accepted, failure));
   }
 
-  private void answered(
+  private void completed(
       int instance,
       ConfigurationDocument document,
       ConfigurationDocument accepted,
       Throwable failure) {
     if (failure == null) {
-      answers.put(document, "accepted");
+      results.put(document, "accepted");
       offer(instance, accepted);
       return;
     }
     RunState state = AgatefieldException.from(failure).runState();
-    answers.put(document, state == RunState.NO ? "refused" : "unknown");
+    results.put(document, state == RunState.NO ? "refused" : "unknown");
   }
 
   /** Delivers a random version of the object, as a lagging watch or list might. */
@@ -156,14 +156,15 @@
     }
   }
 
-  private void checkAnswers() {
+  private void checkResults() {
     List<ConfigurationDocument> accepted = acceptedDocuments();
-    answers.forEach(
-        (document, answer) -> {
-          boolean took = accepted.contains(document.withGeneration(document.generation() + 1));
-          boolean truthful = answer.equals("unknown") || took == answer.equals("accepted");
-          if (!truthful) {
-            violations.add(answer + " but " + took + ": " + document);
+    results.forEach(
+        (document, result) -> {
+          boolean wasAccepted =
+              accepted.contains(document.withGeneration(document.generation() + 1));
+          boolean correct = result.equals("unknown") || wasAccepted == result.equals("accepted");
+          if (!correct) {
+            violations.add(result + " but " + wasAccepted + ": " + document);
           }
         });
   }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
@@ -70,9 +70,9 @@
 
   @Override
   public CompletableFuture<StoredObject> get(ObjectKey key) {
-    CompletableFuture<StoredObject> answer = new CompletableFuture<>();
-    pending.add(() -> complete(answer, () -> read(key)));
-    return answer;
+    CompletableFuture<StoredObject> response = new CompletableFuture<>();
+    pending.add(() -> complete(response, () -> read(key)));
+    return response;
   }
 
   private StoredObject read(ObjectKey key) {
@@ -101,17 +101,17 @@
   }
 
   private CompletableFuture<StoredObject> write(Effect effect) {
-    CompletableFuture<StoredObject> answer = new CompletableFuture<>();
+    CompletableFuture<StoredObject> response = new CompletableFuture<>();
     switch (random.nextInt(6)) {
       case 0 -> {
-        pending.add(() -> fail(answer, StoreFailure.UNKNOWN_RESULT));
+        pending.add(() -> fail(response, StoreFailure.UNKNOWN_RESULT));
         pending.add(() -> complete(new CompletableFuture<>(), effect));
       }
-      case 1 -> pending.add(() -> fail(answer, StoreFailure.UNKNOWN_RESULT));
-      case 2 -> pending.add(() -> fail(answer, StoreFailure.UNAVAILABLE));
-      default -> pending.add(() -> complete(answer, effect));
+      case 1 -> pending.add(() -> fail(response, StoreFailure.UNKNOWN_RESULT));
+      case 2 -> pending.add(() -> fail(response, StoreFailure.UNAVAILABLE));
+      default -> pending.add(() -> complete(response, effect));
     }
-    return answer;
+    return response;
   }
 
   private StoredObject put(
@@ -140,16 +140,16 @@
     StoredObject apply();
   }
 
-  private static void complete(CompletableFuture<StoredObject> answer, Effect effect) {
+  private static void complete(CompletableFuture<StoredObject> response, Effect effect) {
     try {
-      answer.complete(effect.apply());
+      response.complete(effect.apply());
     } catch (StoreException exception) {
-      answer.completeExceptionally(exception);
+      response.completeExceptionally(exception);
     }
   }
 
-  private static void fail(CompletableFuture<StoredObject> answer, StoreFailure failure) {
-    answer.completeExceptionally(new StoreException(failure, "injected by the test"));
+  private static void fail(CompletableFuture<StoredObject> response, StoreFailure failure) {
+    response.completeExceptionally(new StoreException(failure, "injected by the test"));
   }
 
   @Override
