--- a/admission/src/main/java/org/agatefield/admission/LearntLimit.java
+++ b/admission/src/main/java/org/agatefield/admission/AdaptiveLimit.java
@@ -12,7 +12,7 @@
  *
  * <p>Invariant: stays between the given bounds. Confined to the thread that holds it.
  */
-public final class LearntLimit implements ConcurrencyLimit {
+public final class AdaptiveLimit implements ConcurrencyLimit {
   private static final double DECREASE_FACTOR = 0.8;
   private static final int MINIMUM_WAITING = 4;
   private static final double WAITING_SHARE = 0.25;
@@ -28,7 +28,7 @@
   private int reports;
 
   /** Creates a limit that starts at {@code initial}. */
-  public LearntLimit(int minimum, int initial, int maximum) {
+  public AdaptiveLimit(int minimum, int initial, int maximum) {
     this.minimum = minimum;
     this.maximum = maximum;
     this.limit = initial;
--- a/admission/src/main/java/org/agatefield/admission/AdmissionQueue.java
+++ b/admission/src/main/java/org/agatefield/admission/AdmissionQueue.java
@@ -114,9 +114,9 @@
   }
 
   /** Learns how long a request took that was answered whole. */
-  public void measured(String target, double cost, long serviceNanoseconds, long nowNanoseconds) {
+  public void recordServiceTime(String target, double cost, long serviceNanoseconds, long nowNanoseconds) {
     lastNanoseconds = nowNanoseconds;
-    meter(target).measured(cost, serviceNanoseconds, nowNanoseconds);
+    meter(target).recordServiceTime(cost, serviceNanoseconds, nowNanoseconds);
   }
 
   /** Returns the number of waiting requests. */
@@ -130,7 +130,7 @@
   }
 
   /** Returns one waiting request of each target that requests wait for. */
-  public List<QueuedRequest> oneOfEachTarget() {
+  public List<QueuedRequest> oneRequestPerTarget() {
     List<QueuedRequest> found = new ArrayList<>(byTarget.size());
     for (Map<Priority, CallerBacklogs> backlogs : byTarget.values()) {
       backlogs.values().stream()
--- a/admission/src/main/java/org/agatefield/admission/DrainMeter.java
+++ b/admission/src/main/java/org/agatefield/admission/DrainMeter.java
@@ -49,7 +49,7 @@
   }
 
   /** Learns from a request that was answered whole. */
-  void measured(double cost, long serviceNanoseconds, long nowNanoseconds) {
+  void recordServiceTime(double cost, long serviceNanoseconds, long nowNanoseconds) {
     measuredNanoseconds = nowNanoseconds;
     double perCost = serviceNanoseconds / cost;
     nanosecondsPerCost = nanosecondsPerCost == 0 ? perCost : smooth(nanosecondsPerCost, perCost);
@@ -80,7 +80,7 @@
     return (long) Math.min(requests * perRequest, (double) TimeUnit.DAYS.toNanos(1));
   }
 
-  private static double smooth(double old, double measured) {
-    return old + SMOOTHING * (measured - old);
+  private static double smooth(double old, double recordServiceTime) {
+    return old + SMOOTHING * (recordServiceTime - old);
   }
 }
--- a/admission/src/main/java/org/agatefield/admission/FleetSize.java
+++ b/admission/src/main/java/org/agatefield/admission/FleetSize.java
@@ -9,13 +9,13 @@
  * also while they do not see each other. Confined to one thread.
  */
 public final class FleetSize {
-  /** How often {@link #look} is to be called, so that no size is missed. */
-  public static final long LOOK_MILLISECONDS = 240;
+  /** How often {@link #sample} is to be called, so that no size is missed. */
+  public static final long SAMPLE_INTERVAL_MILLISECONDS = 240;
 
   private static final long MEMORY_MILLISECONDS = 60_000; // longer than most cuts last
 
   private final IntSupplier alive;
-  private int most = 1;
+  private int recentMaximum = 1;
   private long mostAt;
 
   /** Creates the size of a fleet of which {@code alive} tells the instances seen now. */
@@ -24,17 +24,17 @@
   }
 
   /** Takes note of the instances that are seen now. */
-  public void look(long nowMilliseconds) {
+  public void sample(long nowMilliseconds) {
     int seen = alive.getAsInt();
-    if (seen >= most || nowMilliseconds - mostAt > MEMORY_MILLISECONDS) {
-      most = Math.max(1, seen);
+    if (seen >= recentMaximum || nowMilliseconds - mostAt > MEMORY_MILLISECONDS) {
+      recentMaximum = Math.max(1, seen);
       mostAt = nowMilliseconds;
     }
   }
 
   /** Returns the most instances, at least 1. */
-  public int most(long nowMilliseconds) {
-    look(nowMilliseconds);
-    return most;
+  public int recentMaximum(long nowMilliseconds) {
+    sample(nowMilliseconds);
+    return recentMaximum;
   }
 }
--- a/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
@@ -29,7 +29,7 @@
   }
 
   /** Takes another rate from now on; what is kept beyond its capacity is dropped. */
-  public void reshape(TokenRate changed, long nowMilliseconds) {
+  public void setRate(TokenRate changed, long nowMilliseconds) {
     fill(nowMilliseconds);
     if (changed.capacity() < rate.capacity()) {
       level = Math.min(level, changed.capacity());
@@ -64,7 +64,7 @@
   }
 
   /** Takes tokens back that were granted and not used; what exceeds the capacity is dropped. */
-  public void giveBack(double tokens, long nowMilliseconds) {
+  public void refund(double tokens, long nowMilliseconds) {
     fill(nowMilliseconds);
     level = Math.max(level, Math.min(rate.capacity(), level + tokens));
   }
@@ -81,18 +81,18 @@
   }
 
   /** Returns how many tokens a request lacks; 0 if it can have them. */
-  public double lacking(double tokens, long nowMilliseconds) {
+  public double shortfall(double tokens, long nowMilliseconds) {
     fill(nowMilliseconds);
     return Math.max(0, needed(tokens) - level);
   }
 
   /** Returns how long it takes to earn what a request lacks, behind those that lately got none. */
   public long millisecondsUntil(double tokens, long nowMilliseconds) {
-    double lacking = lacking(tokens, nowMilliseconds);
-    if (lacking <= 0) {
+    double shortfall = shortfall(tokens, nowMilliseconds);
+    if (shortfall <= 0) {
       return 0;
     }
-    double seconds = (lacking + Math.max(0, unmet - tokens)) / Math.max(1, rate.perSecond());
+    double seconds = (shortfall + Math.max(0, unmet - tokens)) / Math.max(1, rate.perSecond());
     return (long) Math.ceil(seconds * MILLISECONDS_PER_SECOND);
   }
 
--- a/admission/src/main/java/org/agatefield/admission/QuotaBuckets.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBuckets.java
@@ -31,12 +31,12 @@
         buckets.computeIfAbsent(
             account, ignored -> new Held(new QuotaBucket(rate, nowMilliseconds)));
     held.usedAt = nowMilliseconds;
-    held.bucket.reshape(rate, nowMilliseconds);
+    held.bucket.setRate(rate, nowMilliseconds);
     return held.bucket;
   }
 
   /** Forgets the buckets that are neither kept nor used. */
-  public void forgetUnused(Predicate<String> kept, long nowMilliseconds) {
+  public void removeUnused(Predicate<String> kept, long nowMilliseconds) {
     buckets
         .entrySet()
         .removeIf(
--- a/admission/src/main/java/org/agatefield/admission/JoinTable.java
+++ b/admission/src/main/java/org/agatefield/admission/RequestCoalescer.java
@@ -14,7 +14,7 @@
  *
  * @param <T> what the embedding program keeps of each request
  */
-public final class JoinTable<T> {
+public final class RequestCoalescer<T> {
   private final Map<Key, Entry<T>> entries = new HashMap<>();
 
   /**
--- a/admission/src/test/java/org/agatefield/admission/LearntLimitTest.java
+++ b/admission/src/test/java/org/agatefield/admission/AdaptiveLimitTest.java
@@ -10,12 +10,12 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class LearntLimitTest {
+class AdaptiveLimitTest {
   @Property(tries = 300, seed = "5005")
   void limitStaysBetweenItsBounds(
       @ForAll @Size(max = 300) List<@IntRange(max = 2) Integer> events,
       @ForAll @IntRange(max = 80) int count) {
-    LearntLimit limit = new LearntLimit(2, 8, 64);
+    AdaptiveLimit limit = new AdaptiveLimit(2, 8, 64);
     for (int event : events) {
       if (event == 0) {
         limit.succeeded(count, count / 80.0);
@@ -30,7 +30,7 @@
 
   @Test
   void reportFromBetweenTwoBatchesDoesNotLowerTheLimitBelowWhatTheEngineRan() {
-    LearntLimit limit = new LearntLimit(1, 32, 1_024);
+    AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(16, 10);
     limit.reported(1, 25);
     assertEquals(16, limit.limit());
@@ -38,14 +38,14 @@
 
   @Test
   void engineThatLetsRequestsWaitLowersTheLimitToWhatItRuns() {
-    LearntLimit limit = new LearntLimit(1, 32, 1_024);
+    AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(16, 10);
     assertEquals(16, limit.limit());
   }
 
   @Test
   void engineThatRunsLessForLongLowersTheLimit() {
-    LearntLimit limit = new LearntLimit(1, 32, 1_024);
+    AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(16, 10);
     for (int report = 0; report < 100; report++) {
       limit.reported(4, 10);
@@ -55,7 +55,7 @@
 
   @Test
   void reportWithoutWaitingRequestsLeavesTheLimit() {
-    LearntLimit limit = new LearntLimit(1, 32, 1_024);
+    AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(3, 0);
     assertEquals(32, limit.limit());
   }
--- a/admission/src/test/java/org/agatefield/admission/AdmissionQueueTest.java
+++ b/admission/src/test/java/org/agatefield/admission/AdmissionQueueTest.java
@@ -135,7 +135,7 @@
               assertTrue(chosen.deadlineNanoseconds() > now, "started after its deadline");
               assertTrue(over.add(chosen.id()));
               queue.started(chosen.target());
-              queue.measured(chosen.target(), chosen.cost(), SECOND / 10, now);
+              queue.recordServiceTime(chosen.target(), chosen.cost(), SECOND / 10, now);
               queue.finished(chosen.target());
             });
   }
@@ -197,7 +197,7 @@
   void requestThatCannotMeetItsDeadlineIsRefusedOnArrivalWithTimeToComeBack() {
     AdmissionQueue queue = queue(QueueBounds.NONE, 1);
     queue.started("first");
-    queue.measured("first", 1, SECOND, 0);
+    queue.recordServiceTime("first", 1, SECOND, 0);
     for (int copy = 0; copy < 10; copy++) {
       queue.offer(standard("caller", 0), 0);
     }
@@ -212,7 +212,7 @@
   void backlogOfOneCallerDoesNotMakeAnotherLookLate() {
     AdmissionQueue queue = queue(QueueBounds.NONE, 1);
     queue.started("first");
-    queue.measured("first", 1, SECOND, 0);
+    queue.recordServiceTime("first", 1, SECOND, 0);
     for (int copy = 0; copy < 50; copy++) {
       queue.offer(standard("retries", 0), 0);
     }
@@ -222,7 +222,7 @@
   @Test
   void targetThatWasSlowOnceIsTriedAgain() {
     AdmissionQueue queue = queue(QueueBounds.NONE, 1);
-    queue.measured("first", 1, 10 * SECOND, 0);
+    queue.recordServiceTime("first", 1, 10 * SECOND, 0);
     QueuedRequest refused = request("caller", 1, Priority.STANDARD, 0, 5 * SECOND, 1);
     assertFalse(queue.offer(refused, 0).queued());
     long later = 30 * SECOND;
--- a/admission/src/test/java/org/agatefield/admission/FleetSizeTest.java
+++ b/admission/src/test/java/org/agatefield/admission/FleetSizeTest.java
@@ -10,22 +10,22 @@
 
   @Test
   void instancesThatAreNoLongerSeenStillCount() {
-    size.look(0);
+    size.sample(0);
     alive = 1;
-    assertEquals(20, size.most(30_000));
+    assertEquals(20, size.recentMaximum(30_000));
   }
 
   @Test
   void instancesThatWereNotSeenForLongAreForgotten() {
-    size.look(0);
+    size.sample(0);
     alive = 12;
-    assertEquals(12, size.most(61_000));
+    assertEquals(12, size.recentMaximum(61_000));
   }
 
   @Test
   void growthCountsAtOnce() {
-    size.look(0);
+    size.sample(0);
     alive = 30;
-    assertEquals(30, size.most(1));
+    assertEquals(30, size.recentMaximum(1));
   }
 }
--- a/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
+++ b/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
@@ -79,7 +79,7 @@
   @Test
   void lowerRateCountsAtOnce() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
-    bucket.reshape(new TokenRate(10, 200), 10_000);
+    bucket.setRate(new TokenRate(10, 200), 10_000);
     assertFalse(bucket.tryTake(201 + 100, 10_000) && bucket.tryTake(100, 10_000));
     assertEquals(200, new QuotaBucket(RATE, 0).lend(200, 10_000));
   }
@@ -100,9 +100,9 @@
   void tokensThatAreGivenBackCanBeGrantedAgainWithinTheCapacity() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     assertTrue(bucket.tryTake(2_000, 2_000));
-    bucket.giveBack(2_000, 2_000);
+    bucket.refund(2_000, 2_000);
     assertTrue(bucket.tryTake(2_000, 2_000));
-    bucket.giveBack(100_000, 2_000);
+    bucket.refund(100_000, 2_000);
     assertEquals(RATE.capacity(), bucket.level(2_000), 0.001);
   }
 
--- a/admission/src/test/java/org/agatefield/admission/JoinTableTest.java
+++ b/admission/src/test/java/org/agatefield/admission/RequestCoalescerTest.java
@@ -11,16 +11,16 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class JoinTableTest {
+class RequestCoalescerTest {
   @Property(tries = 300, seed = "5004")
   void atMostOneRequestForEachKeyIsInFlight(
       @ForAll @Size(max = 200) List<@IntRange(min = -3, max = 3) Integer> steps) {
-    JoinTable<Integer> table = new JoinTable<>();
+    RequestCoalescer<Integer> table = new RequestCoalescer<>();
     Map<Integer, Integer> leaders = new HashMap<>();
     Map<Integer, Integer> followers = new HashMap<>();
     for (int step = 0; step < steps.size(); step++) {
       int number = Math.abs(steps.get(step));
-      JoinTable.Key key = new JoinTable.Key("caller", "hash" + number);
+      RequestCoalescer.Key key = new RequestCoalescer.Key("caller", "hash" + number);
       if (steps.get(step) < 0) {
         assertEquals(followers.getOrDefault(number, 0), table.finish(key).size());
         leaders.remove(number);
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentMapper.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentMapper.java
@@ -29,12 +29,12 @@
               JsonInclude.Value.construct(
                   JsonInclude.Include.NON_ABSENT, JsonInclude.Include.ALWAYS))
           .addModule(new Jdk8Module())
-          .addModule(plainFormsModule())
+          .addModule(textFormsModule())
           .build();
 
   private DocumentMapper() {}
 
-  private static SimpleModule plainFormsModule() {
+  private static SimpleModule textFormsModule() {
     SimpleModule module = new SimpleModule("plain-forms");
     module.addSerializer(Address.class, new TextSerializer<>(Address.class));
     module.addSerializer(Priority.class, new TextSerializer<>(Priority.class));
--- a/configuration/src/main/java/org/agatefield/configuration/DocumentRules.java
+++ b/configuration/src/main/java/org/agatefield/configuration/DocumentRules.java
@@ -111,7 +111,7 @@
   }
 
   private void checkAddress(Upstream upstream, String path) {
-    if (!IpNumbers.isIpNumber(upstream.address().host())) {
+    if (!IpLiterals.isIpLiteral(upstream.address().host())) {
       fault(
           path + ".address",
           quote(upstream.address().toString()),
--- a/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
+++ b/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
@@ -30,27 +30,27 @@
     Map<String, List<VersionId>> packing, List<ConfigurationFault> faults) {
 
   /** A version that must be resident, and how much memory each replica of it takes. */
-  private record Need(VersionId version, String path, long megabytes, int replicas) {}
+  private record Requirement(VersionId version, String path, long megabytes, int replicas) {}
 
   /** The outcome of one way of packing. */
-  private record Attempt(Map<String, List<VersionId>> packing, List<Need> unplaced) {}
+  private record Attempt(Map<String, List<VersionId>> packing, List<Requirement> unplaced) {}
 
   /** Returns the feasibility of a document that keeps the rules between fields. */
   public static MemoryFeasibility of(ConfigurationDocument document) {
-    List<Need> needs = needs(document);
+    List<Requirement> requirements = requirements(document);
     List<Upstream> runners =
         document.upstreams().stream()
             .filter(each -> each.kind() == UpstreamKind.MODEL_RUNNER)
             .toList();
-    Attempt tightest = pack(needs, runners, true);
-    if (tightest.unplaced().isEmpty()) {
-      return new MemoryFeasibility(tightest.packing(), List.of());
+    Attempt bestFit = pack(requirements, runners, true);
+    if (bestFit.unplaced().isEmpty()) {
+      return new MemoryFeasibility(bestFit.packing(), List.of());
     }
-    Attempt widest = pack(needs, runners, false);
-    if (widest.unplaced().isEmpty()) {
-      return new MemoryFeasibility(widest.packing(), List.of());
+    Attempt worstFit = pack(requirements, runners, false);
+    if (worstFit.unplaced().isEmpty()) {
+      return new MemoryFeasibility(worstFit.packing(), List.of());
     }
-    return new MemoryFeasibility(tightest.packing(), faults(needs, runners, tightest));
+    return new MemoryFeasibility(bestFit.packing(), faults(requirements, runners, bestFit));
   }
 
   /** Returns the memory that one replica of a version takes, with all adapters beside it. */
@@ -66,8 +66,8 @@
         .sum();
   }
 
-  private static List<Need> needs(ConfigurationDocument document) {
-    List<Need> needs = new ArrayList<>();
+  private static List<Requirement> requirements(ConfigurationDocument document) {
+    List<Requirement> requirements = new ArrayList<>();
     for (int i = 0; i < document.deployments().size(); i++) {
       Deployment deployment = document.deployments().get(i);
       for (int j = 0; j < deployment.versions().size(); j++) {
@@ -76,15 +76,15 @@
           String path = "$.deployments[" + i + "].versions[" + j + "]";
           VersionId id = new VersionId(deployment.name(), version.name());
           long megabytes = replicaMegabytes(document, deployment, version);
-          needs.add(new Need(id, path, megabytes, deployment.minimumReplicas()));
+          requirements.add(new Requirement(id, path, megabytes, deployment.minimumReplicas()));
         }
       }
     }
-    needs.sort(Comparator.comparingLong(Need::megabytes).reversed());
-    return needs;
+    requirements.sort(Comparator.comparingLong(Requirement::megabytes).reversed());
+    return requirements;
   }
 
-  private static Attempt pack(List<Need> needs, List<Upstream> runners, boolean tightestFirst) {
+  private static Attempt pack(List<Requirement> requirements, List<Upstream> runners, boolean smallestFirst) {
     Map<String, Long> free = new LinkedHashMap<>();
     Map<String, List<VersionId>> packing = new LinkedHashMap<>();
     for (Upstream runner : runners) {
@@ -92,33 +92,33 @@
       packing.put(runner.name(), new ArrayList<>());
     }
     Comparator<String> byFree = Comparator.comparingLong(free::get);
-    List<Need> unplaced = new ArrayList<>();
-    for (Need need : needs) {
+    List<Requirement> unplaced = new ArrayList<>();
+    for (Requirement requirement : requirements) {
       List<String> order = new ArrayList<>(free.keySet());
-      order.sort(tightestFirst ? byFree : byFree.reversed());
+      order.sort(smallestFirst ? byFree : byFree.reversed());
       List<String> chosen =
           order.stream()
-              .filter(each -> free.get(each) >= need.megabytes())
-              .limit(need.replicas())
+              .filter(each -> free.get(each) >= requirement.megabytes())
+              .limit(requirement.replicas())
               .toList();
-      if (chosen.size() < need.replicas()) {
-        unplaced.add(need);
+      if (chosen.size() < requirement.replicas()) {
+        unplaced.add(requirement);
         continue;
       }
       for (String runner : chosen) {
-        free.merge(runner, -need.megabytes(), Long::sum);
-        packing.get(runner).add(need.version());
+        free.merge(runner, -requirement.megabytes(), Long::sum);
+        packing.get(runner).add(requirement.version());
       }
     }
     return new Attempt(packing, unplaced);
   }
 
   private static List<ConfigurationFault> faults(
-      List<Need> needs, List<Upstream> runners, Attempt attempt) {
-    long needed = needs.stream().mapToLong(each -> each.megabytes() * each.replicas()).sum();
+      List<Requirement> requirements, List<Upstream> runners, Attempt attempt) {
+    long needed = requirements.stream().mapToLong(each -> each.megabytes() * each.replicas()).sum();
     long available = runners.stream().mapToLong(Upstream::memoryMegabytes).sum();
     Map<VersionId, Long> sizes = new HashMap<>();
-    needs.forEach(each -> sizes.put(each.version(), each.megabytes()));
+    requirements.forEach(each -> sizes.put(each.version(), each.megabytes()));
     List<String> left = new ArrayList<>();
     for (Upstream runner : runners) {
       long taken = attempt.packing().get(runner.name()).stream().mapToLong(sizes::get).sum();
@@ -126,22 +126,22 @@
     }
     List<ConfigurationFault> faults = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (Need need : attempt.unplaced()) {
-      if (seen.add(need.path())) {
-        faults.add(fault(need, needed, available, left));
+    for (Requirement requirement : attempt.unplaced()) {
+      if (seen.add(requirement.path())) {
+        faults.add(fault(requirement, needed, available, left));
       }
     }
     return faults;
   }
 
   private static ConfigurationFault fault(
-      Need need, long needed, long available, List<String> left) {
+      Requirement requirement, long needed, long available, List<String> left) {
     String found =
-        need.version()
+        requirement.version()
             + " needs "
-            + need.megabytes()
+            + requirement.megabytes()
             + " MB (with its adapters) on "
-            + need.replicas()
+            + requirement.replicas()
             + " different runners";
     String rule =
         "all resident versions need "
@@ -150,6 +150,6 @@
             + available
             + " MB; MB left on each runner after packing the others: "
             + String.join(", ", left);
-    return new ConfigurationFault(need.path(), found, rule);
+    return new ConfigurationFault(requirement.path(), found, rule);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/Daemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/Daemon.java
@@ -22,14 +22,14 @@
 import org.agatefield.daemon.dispatch.HomeEntryDirectory;
 import org.agatefield.daemon.dispatch.RoutingDispatcher;
 import org.agatefield.daemon.http.CallerApi;
-import org.agatefield.daemon.http.CallerApiParts;
+import org.agatefield.daemon.http.CallerApiDependencies;
 import org.agatefield.daemon.http.HttpOutcomeQuery;
 import org.agatefield.daemon.http.InvalidRequestHandler;
 import org.agatefield.daemon.http.ShutdownCoordinator;
 import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.daemon.operate.OperatorApi;
-import org.agatefield.daemon.operate.OperatorParts;
-import org.agatefield.daemon.peers.PeerDuty;
+import org.agatefield.daemon.operate.OperatorApiDependencies;
+import org.agatefield.daemon.peers.PeerCoordinator;
 import org.agatefield.daemon.placing.LedgerDirectory;
 import org.agatefield.daemon.placing.PlacementContext;
 import org.agatefield.daemon.placing.PlacementController;
@@ -66,7 +66,7 @@
   private static final String CLAIM_SWEEPER_LEASE = "claim-sweeper";
   private static final Duration CLAIM_SWEEP_INTERVAL = Duration.ofMinutes(1);
   private static final Duration LEASE_DURATION = Duration.ofSeconds(6);
-  private static final Duration SPREAD_ALLOWANCE = Duration.ofSeconds(2);
+  private static final Duration PROPAGATION_ALLOWANCE = Duration.ofSeconds(2);
   private static final double REQUESTS_PER_SECOND_PER_HOME = 50;
   private static final int MINIMUM_HOMES = 2;
   private static final int EVENT_LOOPS = 2;
@@ -82,7 +82,7 @@
   private final EngineClient engines;
   private final ConfigurationManager configuration;
   private final LedgerDirectory ledgers;
-  private PeerDuty peers;
+  private PeerCoordinator peers;
   private RoutingDispatcher dispatcher;
   private StoreBackedCallExecutor calls;
   private ShutdownCoordinator shutdown;
@@ -138,7 +138,7 @@
             InstanceState.LIVE);
     peers =
         closer.register(
-            new PeerDuty(
+            new PeerCoordinator(
                 self,
                 settings.peers(),
                 settings.tls().map(TlsSetup::forPeers),
@@ -181,7 +181,7 @@
         new ShutdownCoordinator(
             vertx,
             limits.entryTimeToLive(),
-            SPREAD_ALLOWANCE,
+            PROPAGATION_ALLOWANCE,
             limits.drainTimeout(),
             calls::runningCalls,
             monitor);
@@ -212,23 +212,23 @@
   private Router routes() {
     Router router = Router.router(vertx);
     router.get("/metrics").handler(new MetricsHandler(metrics));
-    OperatorParts operatorParts =
-        new OperatorParts(
+    OperatorApiDependencies operatorApiDependencies =
+        new OperatorApiDependencies(
             configuration, peers, ledgers, plannerLease, monitor, this::drainOnRequest);
-    new OperatorApi(operatorParts, settings.operatorTokenSha256()).mount(router);
+    new OperatorApi(operatorApiDependencies, settings.operatorTokenSha256()).mount(router);
     router.get("/operator/explain/request").handler(new RequestExplanationRoute(dispatcher));
-    new CallerApi(callerApiParts()).mount(router);
+    new CallerApi(callerApiDependencies()).mount(router);
     return router;
   }
 
-  private CallerApiParts callerApiParts() {
+  private CallerApiDependencies callerApiDependencies() {
     HomeEntryDirectory entries =
         new HomeEntryDirectory(
             peers,
             new HomeInstances(REQUESTS_PER_SECOND_PER_HOME, MINIMUM_HOMES),
             this::requestsPerSecond,
             settings.limits().entryTimeToLive());
-    return new CallerApiParts(
+    return new CallerApiDependencies(
         vertx,
         configuration,
         dispatcher,
@@ -282,7 +282,7 @@
 
   /** Finishes what runs, then closes everything; returns whether no request was cut. */
   boolean shutDownGracefully() {
-    boolean complete = shutdown.beginLeaving(peers::leave).join();
+    boolean complete = shutdown.beginShutdown(peers::leave).join();
     LOGGER.info("leaving complete={} violations={}", complete, monitor.violations());
     closer.close();
     return complete;
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -14,7 +14,7 @@
 import org.agatefield.daemon.core.NonRepeatableCall;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.ServiceResponse;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimAction;
 import org.agatefield.idempotency.ClaimEvent;
@@ -50,7 +50,7 @@
   private final Dispatcher dispatcher;
   private final NonRepeatableCall.Sender sender;
   private final String name;
-  private final Arrival arrival;
+  private final CallAttempt arrival;
   private final Claim<ServiceResponse> claim;
   private final Consumer<ClaimExecution> onEnd;
   private final ClaimProtocol<ServiceResponse> protocol = new ClaimProtocol<>();
@@ -70,7 +70,7 @@
       Dispatcher dispatcher,
       NonRepeatableCall.Sender sender,
       String name,
-      Arrival arrival,
+      CallAttempt arrival,
       Claim<ServiceResponse> claim,
       Consumer<ClaimExecution> onEnd) {
     this.context = context;
@@ -96,7 +96,7 @@
   /** Returns whether the store may contain this arrival's claim without an outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, ASKING_FOR_OWN, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING -> true;
       default -> false;
     };
   }
@@ -142,7 +142,7 @@
   private static boolean isReply(ClaimAction<ServiceResponse> action) {
     return action instanceof ClaimAction.Reply
         || action instanceof ClaimAction.Refuse
-        || action instanceof ClaimAction.RefuseWith;
+        || action instanceof ClaimAction.RefuseWithError;
   }
 
   /**
@@ -163,11 +163,11 @@
       dispatcher.acquire(request).whenComplete(this::acquired);
     } else if (action instanceof ClaimAction.Reacquire) {
       reacquire();
-    } else if (action instanceof ClaimAction.GiveBack) {
+    } else if (action instanceof ClaimAction.ReleaseUpstream) {
       finishDispatch(DispatchOutcome.CANCELLED);
     } else if (action instanceof ClaimAction.Create) {
       create();
-    } else if (action instanceof ClaimAction.Resume) {
+    } else if (action instanceof ClaimAction.CheckDeadline) {
       resume();
     } else if (action instanceof ClaimAction.Send) {
       send();
@@ -175,7 +175,7 @@
       context
           .vertx()
           .setTimer(polls.nextMilliseconds(), fired -> process(new ClaimEvent.PollDue<>()));
-    } else if (action instanceof ClaimAction.AskService) {
+    } else if (action instanceof ClaimAction.QueryService) {
       context.outcomes().ask(call).whenComplete(this::outcomeQueried);
     } else {
       performFinal(action);
@@ -185,7 +185,7 @@
   private void performFinal(ClaimAction<ServiceResponse> action) {
     if (action instanceof ClaimAction.Record<ServiceResponse> write) {
       recordOutcome(write.outcome());
-    } else if (action instanceof ClaimAction.RecordFor<ServiceResponse> write) {
+    } else if (action instanceof ClaimAction.RecordForOther<ServiceResponse> write) {
       recordFor(write);
     } else if (action instanceof ClaimAction.Remove) {
       context.remover().remove(name, arrival.attemptId(), createUnknown);
@@ -198,7 +198,7 @@
       reply.complete(answer.answer());
     } else if (action instanceof ClaimAction.Refuse<ServiceResponse> refusal) {
       refuse(refusal);
-    } else if (action instanceof ClaimAction.RefuseWith<ServiceResponse> refusal) {
+    } else if (action instanceof ClaimAction.RefuseWithError<ServiceResponse> refusal) {
       reply.completeExceptionally(AgatefieldException.from(refusal.error()));
     }
   }
@@ -270,7 +270,7 @@
 
   private void resume() {
     context.hook().reached(FailPoint.AFTER_CLAIM, call.key());
-    process(new ClaimEvent.Resumed<>());
+    process(new ClaimEvent.DeadlineCheckDue<>());
   }
 
   private void send() {
@@ -320,9 +320,9 @@
 
   private void outcomeQueried(Optional<ServiceResponse> answer, Throwable failure) {
     if (failure == null && answer.isPresent()) {
-      process(new ClaimEvent.OutcomeLearnt<>(answer.get()));
+      process(new ClaimEvent.OutcomeReceived<>(answer.get()));
     } else {
-      process(new ClaimEvent.OutcomeNotLearnt<>());
+      process(new ClaimEvent.OutcomeUnavailable<>());
     }
   }
 
@@ -336,7 +336,7 @@
         .start(ownClaim.orElseThrow(), outcome);
   }
 
-  private void recordFor(ClaimAction.RecordFor<ServiceResponse> write) {
+  private void recordFor(ClaimAction.RecordForOther<ServiceResponse> write) {
     Claim.Outcome<ServiceResponse> outcome = new Claim.Outcome<>(Optional.of(write.answer()));
     context.claims().record(lastRead.orElseThrow(), outcome, arrival.attemptId());
   }
--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
@@ -17,7 +17,7 @@
 import org.agatefield.daemon.core.NonRepeatableCallExecutor;
 import org.agatefield.daemon.core.ServiceRequest;
 import org.agatefield.daemon.core.ServiceResponse;
-import org.agatefield.idempotency.Arrival;
+import org.agatefield.idempotency.CallAttempt;
 import org.agatefield.idempotency.Claim;
 import org.agatefield.idempotency.ClaimNames;
 import org.agatefield.idempotency.RetentionPolicy;
@@ -124,8 +124,8 @@
       String name) {
     long now = System.nanoTime();
     long joinLimit = Math.min(call.remaining().toNanos(), limits.joinLimit().toNanos());
-    Arrival arrival =
-        new Arrival(
+    CallAttempt arrival =
+        new CallAttempt(
             UUID.randomUUID().toString(),
             call.bodySha256(),
             now + call.remaining().toNanos(),
@@ -143,7 +143,7 @@
         ended -> executions.remove(name, ended));
   }
 
-  private Claim<ServiceResponse> claimOf(NonRepeatableCall call, Arrival arrival) {
+  private Claim<ServiceResponse> claimOf(NonRepeatableCall call, CallAttempt arrival) {
     long now = System.currentTimeMillis();
     return new Claim<>(
         arrival.attemptId(),
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -21,8 +21,8 @@
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
 import org.agatefield.routing.Choice;
-import org.agatefield.routing.CrossingRule;
-import org.agatefield.routing.LoadStretch;
+import org.agatefield.routing.CrossRegionRule;
+import org.agatefield.routing.LoadSlowdown;
 import org.agatefield.routing.UpstreamChooser;
 
 /**
@@ -39,14 +39,14 @@
   private final TargetIndex index;
   private final UpstreamTable upstreams;
   private final UpstreamChooser chooser;
-  private final CrossingRule crossing;
+  private final CrossRegionRule crossing;
   private final AdmissionQueue queue;
   private final DemandMeter demand;
   private final DecisionLog decisions;
   private final DispatchMetrics metrics;
   private final InvariantMonitor monitor;
   private final RoutedDispatch.Listener listener;
-  private final LoadStretch stretch = new LoadStretch();
+  private final LoadSlowdown stretch = new LoadSlowdown();
   private final Map<Long, PendingRequest> waiting = new HashMap<>();
   private List<Runnable> completions = new ArrayList<>();
   private Set<String> leaving = Set.of();
@@ -56,7 +56,7 @@
       TargetIndex index,
       UpstreamTable upstreams,
       UpstreamChooser chooser,
-      CrossingRule crossing,
+      CrossRegionRule crossing,
       AdmissionQueue queue,
       DemandMeter demand,
       DecisionLog decisions,
@@ -126,7 +126,7 @@
    */
   void tick(long now) {
     queue.expire(now).forEach(refusal -> refuse(refusal, now));
-    for (PendingRequest pending : List.copyOf(oneOfEachTarget().values())) {
+    for (PendingRequest pending : List.copyOf(oneRequestPerTarget().values())) {
       candidatesWithCapacity(pending, now)
           .forEach(candidate -> dispatchWaiting(candidate.upstream(), now));
     }
@@ -134,7 +134,7 @@
 
   void responseStarted(RoutedDispatch dispatch, long now) {
     long nanoseconds = now - dispatch.sentNanoseconds();
-    upstreams.firstPart(dispatch.upstream().name(), nanoseconds, now);
+    upstreams.firstPartReceived(dispatch.upstream().name(), nanoseconds, now);
   }
 
   /**
@@ -147,15 +147,15 @@
     double utilization = upstreams.state(upstream).utilization(now);
     queue.finished(pending.target.name());
     if (outcome == DispatchOutcome.SUCCEEDED) {
-      queue.measured(pending.target.name(), pending.queued.cost(), nanoseconds, now);
-      stretch.measured(utilization, nanoseconds / pending.queued.cost());
+      queue.recordServiceTime(pending.target.name(), pending.queued.cost(), nanoseconds, now);
+      stretch.recordServiceTime(utilization, nanoseconds / pending.queued.cost());
     }
     if (upstreams.finished(dispatch, outcome, now)) {
       metrics.ejections.inc();
       decisions.ejected(upstream, outcome);
     }
     double runnerSeconds =
-        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.toFullLoad(utilization);
+        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.fullLoadFactor(utilization);
     demand.busy(pending.target.deployment(), runnerSeconds, now);
     dispatchWaiting(upstream, now);
   }
@@ -191,14 +191,14 @@
   /** Dispatches waiting requests to an upstream until it is full or no request can use it. */
   private void dispatchWaiting(String upstream, long now) {
     boolean sent = true;
-    while (sent && queue.size() > 0 && upstreams.state(upstream).hasPlace(now)) {
+    while (sent && queue.size() > 0 && upstreams.state(upstream).hasCapacity(now)) {
       sent = sendNext(upstream, now);
     }
   }
 
   private boolean sendNext(String upstream, long now) {
     Map<String, List<Candidate>> servable = new LinkedHashMap<>();
-    for (Map.Entry<String, PendingRequest> entry : oneOfEachTarget().entrySet()) {
+    for (Map.Entry<String, PendingRequest> entry : oneRequestPerTarget().entrySet()) {
       List<Candidate> candidates = candidatesWithCapacity(entry.getValue(), now);
       if (candidates.stream().anyMatch(each -> each.upstream().equals(upstream))) {
         servable.put(entry.getKey(), candidates);
@@ -272,19 +272,19 @@
       heldInRegion |= candidate.region().equals(region);
     }
     boolean mayLeaveRegion =
-        !heldInRegion || crossing.isWorth(queue.expectedDrainNanoseconds(pending.target.name()));
+        !heldInRegion || crossing.isWorthwhile(queue.expectedDrainNanoseconds(pending.target.name()));
     List<Candidate> candidatesWithCapacity = new ArrayList<>(eligible.size());
     for (Candidate candidate : eligible) {
-      if (candidate.hasPlace() && (mayLeaveRegion || candidate.region().equals(region))) {
+      if (candidate.hasCapacity() && (mayLeaveRegion || candidate.region().equals(region))) {
         candidatesWithCapacity.add(candidate);
       }
     }
     return candidatesWithCapacity;
   }
 
-  private Map<String, PendingRequest> oneOfEachTarget() {
+  private Map<String, PendingRequest> oneRequestPerTarget() {
     Map<String, PendingRequest> targets = new LinkedHashMap<>();
-    for (QueuedRequest each : queue.oneOfEachTarget()) {
+    for (QueuedRequest each : queue.oneRequestPerTarget()) {
       Optional.ofNullable(waiting.get(each.id()))
           .ifPresent(pending -> targets.put(each.target(), pending));
     }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchPolicies.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchPolicies.java
@@ -9,7 +9,7 @@
 import org.agatefield.admission.SheddingPolicy;
 import org.agatefield.admission.WeightedFairOrder;
 import org.agatefield.routing.CostModel;
-import org.agatefield.routing.CrossingRule;
+import org.agatefield.routing.CrossRegionRule;
 import org.agatefield.routing.ExpectedTimeChooser;
 import org.agatefield.routing.PrefixTable;
 import org.agatefield.routing.UpstreamChooser;
@@ -31,7 +31,7 @@
     SheddingPolicy shedding,
     SelectionOrder order,
     RetryPolicy retries,
-    CrossingRule crossing) {
+    CrossRegionRule crossing) {
   private static final double RETRY_SHARE = 0.2;
   private static final double RETRY_RESERVE = 20;
   private static final long CROSSING_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(60);
@@ -50,7 +50,7 @@
         new DeadlineShedding(random),
         new WeightedFairOrder(),
         new RetryBudget(RETRY_SHARE, RETRY_RESERVE),
-        new CrossingRule(CROSSING_NANOSECONDS));
+        new CrossRegionRule(CROSSING_NANOSECONDS));
   }
 
   /** Returns a copy with another upstream chooser. */
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -2,11 +2,11 @@
 
 import java.util.Set;
 import org.agatefield.admission.ConcurrencyLimit;
-import org.agatefield.admission.LearntLimit;
+import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
-import org.agatefield.routing.RunnerLoad;
+import org.agatefield.routing.UpstreamLoad;
 
 /**
  * Tracks the load and the concurrency limit of one upstream as this instance knows them. Guarded by
@@ -17,9 +17,9 @@
   private static final int INITIAL_LIMIT = 32;
   private static final int MAXIMUM_LIMIT = 1_024;
 
-  private final RunnerLoad load = new RunnerLoad();
+  private final UpstreamLoad load = new UpstreamLoad();
   private final ConcurrencyLimit limit =
-      new LearntLimit(MINIMUM_LIMIT, INITIAL_LIMIT, MAXIMUM_LIMIT);
+      new AdaptiveLimit(MINIMUM_LIMIT, INITIAL_LIMIT, MAXIMUM_LIMIT);
   private LoadReport lastReport;
   private Set<String> loadedAdapters = Set.of();
 
@@ -47,7 +47,7 @@
 
   void succeeded(long nanoseconds, double deadlineFraction, long nowNanoseconds) {
     limit.succeeded(load.outstanding(nowNanoseconds), deadlineFraction);
-    load.measured(nanoseconds);
+    load.recordServiceTime(nanoseconds);
   }
 
   void rejected() {
@@ -62,7 +62,7 @@
     return (double) load.outstanding(nowNanoseconds) / limit.limit();
   }
 
-  boolean hasPlace(long nowNanoseconds) {
+  boolean hasCapacity(long nowNanoseconds) {
     return load.outstanding(nowNanoseconds) < limit.limit();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamTable.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamTable.java
@@ -44,8 +44,8 @@
     return states.computeIfAbsent(upstream, ignored -> new UpstreamState());
   }
 
-  void firstPart(String upstream, long nanoseconds, long now) {
-    outliers.firstPart(upstream, nanoseconds, now);
+  void firstPartReceived(String upstream, long nanoseconds, long now) {
+    outliers.firstPartReceived(upstream, nanoseconds, now);
   }
 
   /** Records the outcome of an attempt; returns whether it caused the upstream to be ejected. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/AdapterSource.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/AdapterProvider.java
@@ -4,7 +4,7 @@
 
 /** Has adapters loaded. Called on, and completes on, the event loop. */
 @FunctionalInterface
-interface AdapterSource {
+interface AdapterProvider {
   /** Completes with whether the runner has the adapter now; never fails. */
   CompletableFuture<Boolean> ensure(String runner, String model, String adapter);
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/CallerResponse.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/CallerResponse.java
@@ -32,12 +32,12 @@
     this.leaving = leaving;
   }
 
-  void deliver(UpstreamAnswer answer) {
+  void deliver(UpstreamResponse answer) {
     HttpServerResponse response = begin(answer);
     response.end(answer.body());
   }
 
-  void beginStream(UpstreamAnswer head, byte[] event) {
+  void beginStream(UpstreamResponse head, byte[] event) {
     HttpServerResponse response = begin(head);
     response.setChunked(true);
     response.write(Buffer.buffer(event));
@@ -91,7 +91,7 @@
     return ThreadLocalRandom.current().nextLong(milliseconds / 2, milliseconds * 3 / 2 + 1);
   }
 
-  private HttpServerResponse begin(UpstreamAnswer answer) {
+  private HttpServerResponse begin(UpstreamResponse answer) {
     HttpServerResponse response = request.response();
     response.setStatusCode(answer.status());
     headers.forCaller(answer.headers(), response.headers());
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ConfigurationTracker.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ConfigurationTracker.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.agatefield.daemon.forward.wire.KnowledgeDialect;
+import org.agatefield.daemon.forward.wire.StoredObjectDialect;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.store.InformerListener;
 import org.agatefield.store.StoredObject;
@@ -20,12 +20,12 @@
 final class ConfigurationTracker implements InformerListener {
   private static final Logger LOGGER = LogManager.getLogger(ConfigurationTracker.class);
 
-  private final KnowledgeDialect dialect;
+  private final StoredObjectDialect dialect;
   private final List<Consumer<ForwardingTable>> listeners = new ArrayList<>();
   private Optional<ForwardingTable> table = Optional.empty();
   private Optional<JsonNode> content = Optional.empty();
 
-  ConfigurationTracker(KnowledgeDialect dialect) {
+  ConfigurationTracker(StoredObjectDialect dialect) {
     this.dialect = dialect;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/DemandMeter.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/DemandMeter.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.agatefield.forwarding.PromptTerms;
+import org.agatefield.forwarding.GenerationParameters;
 import org.agatefield.model.ModelDemand;
 
 /** Counts this instance's demand for models between two reports. Confined to one event loop. */
@@ -24,18 +24,18 @@
     private int priority = LEAST_URGENT;
   }
 
-  void arrived(String service, PromptTerms prompt, int priority) {
+  void arrived(String service, GenerationParameters prompt, int priority) {
     Counts each = counts(service, prompt);
     each.tokens += prompt.promptTokens();
     each.requests++;
     each.priority = Math.min(each.priority, priority);
   }
 
-  void waiting(String service, PromptTerms prompt, int change) {
+  void waiting(String service, GenerationParameters prompt, int change) {
     counts(service, prompt).waiting += change;
   }
 
-  void running(String service, PromptTerms prompt, String runner, int change) {
+  void running(String service, GenerationParameters prompt, String runner, int change) {
     Counts each = counts(service, prompt);
     each.running += change;
     int atRunner = each.runningAt.merge(runner, change, Integer::sum);
@@ -71,7 +71,7 @@
     return demands;
   }
 
-  private Counts counts(String service, PromptTerms prompt) {
+  private Counts counts(String service, GenerationParameters prompt) {
     return counts.computeIfAbsent(new Key(service, prompt.model()), ignored -> new Counts());
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineControl.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -14,7 +14,7 @@
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.daemon.forward.wire.RunnerOrder;
 import org.agatefield.daemon.forward.wire.RunnerOrder.Action;
-import org.agatefield.forwarding.HeldModel;
+import org.agatefield.forwarding.LoadedModel;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerReport;
 import org.agatefield.lease.LeaseGrant;
@@ -30,8 +30,8 @@
  * they arrive. Invariants: an order is sent only under a valid grant; what an unanswered order may
  * still load counts as held. Confined to one event loop.
  */
-final class EngineControl {
-  private static final Logger LOGGER = LogManager.getLogger(EngineControl.class);
+final class EngineController {
+  private static final Logger LOGGER = LogManager.getLogger(EngineController.class);
   private static final long REPORT_LAG_MILLISECONDS = 350; // reports are some hundred ms old
   private static final long POLL_MILLISECONDS = 250;
   private static final long IDLE_POLL_MILLISECONDS = 2_000;
@@ -41,13 +41,13 @@
   private static final int SUCCESS = 200;
 
   private final Vertx vertx;
-  private final RunnerCalls calls;
+  private final RunnerClient calls;
   private final RunnerDialect dialect;
   private final Orders orders;
   private RunnerEntry runner;
   private final Deque<EngineTask> tasks = new ArrayDeque<>();
   private final AdapterSlots adapters = new AdapterSlots();
-  private final LateOrders late;
+  private final OutstandingOrders late;
   private Set<String> models = new HashSet<>();
   private Set<String> inHostMemory = Set.of();
   private Set<String> onDisk = Set.of();
@@ -82,11 +82,11 @@
    *
    * @param late what earlier lives of the runner were ordered to load
    */
-  EngineControl(
-      Vertx vertx, HttpClient client, RunnerDialect dialect, Orders orders, LateOrders late) {
+  EngineController(
+      Vertx vertx, HttpClient client, RunnerDialect dialect, Orders orders, OutstandingOrders late) {
     this.late = late;
     this.vertx = vertx;
-    this.calls = new RunnerCalls(client, dialect);
+    this.calls = new RunnerClient(client, dialect);
     this.dialect = dialect;
     this.orders = orders;
   }
@@ -138,7 +138,7 @@
   }
 
   private boolean isLoading() {
-    return current.filter(EngineControl::loadsModel).isPresent();
+    return current.filter(EngineController::loadsModel).isPresent();
   }
 
   private static boolean loadsModel(EngineTask task) {
@@ -450,14 +450,14 @@
     proceed();
   }
 
-  private void holdOnly(Iterable<HeldModel> held) {
+  private void holdOnly(Iterable<LoadedModel> held) {
     models = new HashSet<>();
     held.forEach(model -> models.add(model.name()));
   }
 
   private void noteAdapters(RunnerReport report) {
-    Set<String> present = new HashSet<>(report.comingAdapters());
-    for (HeldModel model : report.models()) {
+    Set<String> present = new HashSet<>(report.loadingAdapters());
+    for (LoadedModel model : report.models()) {
       model.adapters().forEach(adapter -> present.add(model.name() + '/' + adapter));
     }
     adapters.reported(present);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EntryDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EntryDirectory.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Predicate;
-import org.agatefield.daemon.forward.wire.CallerDialect.Whereabouts;
+import org.agatefield.daemon.forward.wire.CallerDialect.CallerLocation;
 import org.agatefield.model.Address;
 import org.agatefield.model.Instance;
 import org.agatefield.model.InstanceState;
@@ -19,7 +19,7 @@
 
   private EntryDirectory() {}
 
-  static List<Address> addressesFor(Whereabouts caller, Collection<Instance> alive) {
+  static List<Address> addressesFor(CallerLocation caller, Collection<Instance> alive) {
     List<Instance> live =
         alive.stream().filter(instance -> instance.state() == InstanceState.LIVE).toList();
     List<Address> nearest =
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EntryListeners.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EntryListeners.java
@@ -98,7 +98,7 @@
       return;
     }
     List<Address> addresses =
-        EntryDirectory.addressesFor(callers.whereabouts(request.params()), answering.get());
+        EntryDirectory.addressesFor(callers.callerLocation(request.params()), answering.get());
     request
         .response()
         .putHeader("Content-Type", "application/json")
--- a/daemon/src/main/java/org/agatefield/daemon/forward/FixedShareQuotas.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EqualShareQuotaPolicy.java
@@ -17,7 +17,7 @@
  * <p>Needs no message, and holds in any cut. Refuses an account below its quota when its requests
  * are few or come to few instances. Confined to one event loop.
  */
-final class FixedShareQuotas implements QuotaPolicy {
+final class EqualShareQuotaPolicy implements QuotaPolicy {
   private static final double EARNING_SECONDS = 30; // a usual request of a small account
 
   private final QuotaTolerance tolerance;
@@ -31,11 +31,11 @@
    *
    * @param clock gives monotonic milliseconds
    */
-  FixedShareQuotas(QuotaTolerance tolerance, FleetSize fleet, LongSupplier clock) {
+  EqualShareQuotaPolicy(QuotaTolerance tolerance, FleetSize fleet, LongSupplier clock) {
     this(tolerance, fleet, clock, UnaryOperator.identity());
   }
 
-  private FixedShareQuotas(
+  private EqualShareQuotaPolicy(
       QuotaTolerance tolerance,
       FleetSize fleet,
       LongSupplier clock,
@@ -47,9 +47,9 @@
   }
 
   /** Creates a policy for an instance that is cut off: its part is earned over a longer time. */
-  static FixedShareQuotas whileCutOff(
+  static EqualShareQuotaPolicy whileCutOff(
       QuotaTolerance tolerance, FleetSize fleet, LongSupplier clock) {
-    return new FixedShareQuotas(
+    return new EqualShareQuotaPolicy(
         tolerance,
         fleet,
         clock,
@@ -73,14 +73,14 @@
   private QuotaBucket bucket(ClientAccount account, long now) {
     TokenQuota quota = account.quota().orElseThrow();
     TokenRate whole = tolerance.rate(quota.perSecond(), quota.burst());
-    TokenRate part = kept.apply(whole.scaled(1.0 / fleet.most(now)));
+    TokenRate part = kept.apply(whole.scaled(1.0 / fleet.recentMaximum(now)));
     return buckets.bucket(account.name(), part, now);
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   /** Empties the bucket of an account, whose part is earned from the given moment on. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingContext.java
@@ -36,20 +36,20 @@
  * @param leaving whether new connections are to go elsewhere
  * @param refusing whether new requests are refused, since the process ends soon
  */
-record ForwardingParts(
+record ForwardingContext(
     Vertx vertx,
     EventLoopDelay delay,
-    AnswerMemory answerMemory,
+    ResponseMemory answerMemory,
     HttpClient client,
     PlatformDialect dialect,
     HeaderRules headers,
     Supplier<Optional<ForwardingTable>> table,
     RunnerSelector selector,
-    RunnerNotices notices,
+    RunnerAvailability notices,
     SendPolicy sending,
     RunnerLoads loads,
     ModelPresence presence,
-    AdapterSource adapters,
+    AdapterProvider adapters,
     QuotaPolicy quotas,
     RetryBudgets budgets,
     DemandMeter demand,
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -26,8 +26,8 @@
 import org.agatefield.daemon.forward.wire.PlatformDialect;
 import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
-import org.agatefield.forwarding.BeginInTime;
-import org.agatefield.forwarding.EarliestBeginChoice;
+import org.agatefield.forwarding.StartInTimePolicy;
+import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
 import org.agatefield.model.AgatefieldException;
@@ -80,21 +80,21 @@
   private final ModelPresence presence = new ModelPresence();
   private final DemandMeter demand = new DemandMeter();
   private final EventLoopDelay delay = new EventLoopDelay();
-  private final AnswerMemory answerMemory = new AnswerMemory();
+  private final ResponseMemory answerMemory = new ResponseMemory();
   private final WaitingRequests waiting;
   private final Set<RequestExchange> exchanges = new HashSet<>();
   private final ConfigurationTracker configuration;
   private final RunnerDirectory runners;
-  private final KnowledgeExchange knowledge;
-  private final Map<String, KnowledgeRelay> knowledgeRelays = new HashMap<>();
+  private final SnapshotExchange knowledge;
+  private final Map<String, ObjectRelay> knowledgeRelays = new HashMap<>();
   private final List<ObjectInformer> informers = new ArrayList<>();
   private ForwardingPeers peers;
   private LoadExchange loadExchange;
-  private PlannerLink plannerLink;
-  private RunnerNotices notices;
+  private PlannerClient plannerLink;
+  private RunnerAvailability notices;
   private FleetSize fleetSize;
-  private HeldQuotas quotas;
-  private PlannerDuty planner;
+  private RegionalQuotaPolicy quotas;
+  private ModelPlanner planner;
   private LeaseManager lease;
   private IngressServer ingress;
   private volatile boolean leaving;
@@ -118,7 +118,7 @@
     this.waiting = new WaitingRequests(vertx);
     this.configuration = new ConfigurationTracker(dialect.knowledge());
     this.runners = new RunnerDirectory(dialect.knowledge());
-    this.knowledge = new KnowledgeExchange(vertx, configuration, runners);
+    this.knowledge = new SnapshotExchange(vertx, configuration, runners);
   }
 
   /** Returns what a daemon runs on unless it is given another: one event loop. */
@@ -176,12 +176,12 @@
   }
 
   private void startParts(UniformRandomProvider random, CompletableFuture<Void> started) {
-    plannerLink = new PlannerLink(peers, presence, waiting, demand, () -> lease.refresh());
+    plannerLink = new PlannerClient(peers, presence, waiting, demand, () -> lease.refresh());
     loadExchange = new LoadExchange(peers, loads, settings.failureDomain());
-    notices = new RunnerNotices(peers::broadcast);
+    notices = new RunnerAvailability(peers::broadcast);
     fleetSize = new FleetSize(() -> peers.alive().size());
     quotas =
-        new HeldQuotas(
+        new RegionalQuotaPolicy(
             (delay, work) -> vertx.setTimer(delay, fired -> work.run()),
             MonotonicClock::milliseconds,
             peers,
@@ -220,16 +220,16 @@
   }
 
   private void createWatches(HttpObjectStore store) {
-    configuration.listen(table -> peers.raiseVersion(table.version()));
+    configuration.listen(table -> peers.announceConfigurationVersion(table.version()));
     ObjectSource source =
-        new RelayedObjects(vertx, store, () -> peers.relays().sources(), peers::request);
+        new RelayedObjectSource(vertx, store, () -> peers.relays().sources(), peers::request);
     createWatch(source, ObjectKind.CONFIGURATION, configuration);
     createWatch(source, ObjectKind.RUNNER, runners);
   }
 
   private void createWatch(ObjectSource source, ObjectKind kind, InformerListener listener) {
-    KnowledgeRelay relay =
-        new KnowledgeRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
+    ObjectRelay relay =
+        new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
     knowledgeRelays.put(kind.plural(), relay);
     ObjectInformer informer =
         new ObjectInformer(vertx, source, kind, STORE_POLL, LONGEST_STORE_DELAY);
@@ -254,10 +254,10 @@
             loads,
             presence,
             notices,
-            new EarliestBeginChoice(random));
+            new EarliestStartChooser(random));
     ingress =
         new IngressServer(
-            new ForwardingParts(
+            new ForwardingContext(
                 vertx,
                 delay,
                 answerMemory,
@@ -267,7 +267,7 @@
                 configuration::table,
                 selector,
                 notices,
-                new BeginInTime(),
+                new StartInTimePolicy(),
                 loads,
                 presence,
                 plannerLink::ensureAdapter,
@@ -302,7 +302,7 @@
     return switch (settings.quotas().sharing()) {
       case HOLDERS -> quotas;
       case EQUAL_PARTS ->
-          new FixedShareQuotas(quotaTolerance(), fleetSize, MonotonicClock::milliseconds);
+          new EqualShareQuotaPolicy(quotaTolerance(), fleetSize, MonotonicClock::milliseconds);
     };
   }
 
@@ -324,9 +324,9 @@
                 id,
                 LEASE_DURATION,
                 this::isEarlierLifeOfThisInstance,
-                () -> peers.relays().speaks()));
+                () -> peers.relays().representsDomain()));
     planner =
-        new PlannerDuty(
+        new ModelPlanner(
             vertx,
             client,
             dialect.runners(),
@@ -349,18 +349,18 @@
   }
 
   private void startTimers() {
-    PeriodicDuties duties = new PeriodicDuties(vertx, LoadExchange.PERIOD_MILLISECONDS, delay);
+    PeriodicTasks duties = new PeriodicTasks(vertx, LoadExchange.PERIOD_MILLISECONDS, delay);
     duties.every(LoadExchange.PERIOD_MILLISECONDS, loadExchange::tell);
-    duties.every(PlannerLink.DEMAND_MILLISECONDS, now -> plannerLink.reportDemand());
-    duties.every(PlannerLink.NOTICE_MILLISECONDS, now -> plannerLink.announce());
+    duties.every(PlannerClient.DEMAND_MILLISECONDS, now -> plannerLink.reportDemand());
+    duties.every(PlannerClient.NOTICE_MILLISECONDS, now -> plannerLink.announce());
     duties.every(LAPSE_CHECK_MILLISECONDS, runners::dropLapsed);
-    duties.every(FleetSize.LOOK_MILLISECONDS, fleetSize::look);
-    duties.every(HeldQuotas.KEEP_MILLISECONDS, quotas::keep);
+    duties.every(FleetSize.SAMPLE_INTERVAL_MILLISECONDS, fleetSize::sample);
+    duties.every(RegionalQuotaPolicy.KEEP_MILLISECONDS, quotas::keep);
     duties.start();
   }
 
   /** Stops talking to other instances, as a process does that dies; for tests of the others. */
-  public void stopPeers() {
+  public void closePeers() {
     peers.close();
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -33,7 +33,7 @@
  * thread. Created and closed by other threads, which wait for the loop; else safe for use by any
  * thread.
  */
-final class ForwardingPeers implements LoadExchange.Fleet, HeldQuotas.Fleet, AutoCloseable {
+final class ForwardingPeers implements LoadExchange.Fleet, RegionalQuotaPolicy.Fleet, AutoCloseable {
   // Callers keep an answer that names a dead instance for seconds, so the dead are found in about
   // two.
   private static final long PROBE_MILLISECONDS = 600;
@@ -60,7 +60,7 @@
   /** Told of messages, on the daemon's event loop. */
   interface Listener {
     /** A member has a configuration of that version. */
-    void configurationHeard(Instance holder, long version);
+    void configurationAnnounced(Instance holder, long version);
 
     /** A message came that expects no answer. */
     void received(PeerMessage message);
@@ -81,7 +81,7 @@
     this.settings =
         MembershipSettings.defaults()
             .withProbes(PROBE_MILLISECONDS, PROBE_TIMEOUT_MILLISECONDS, SUSPICION_PROBES)
-            .withSpread(UPDATES_PER_MESSAGE, TRANSMIT_MULTIPLIER);
+            .withGossip(UPDATES_PER_MESSAGE, TRANSMIT_MULTIPLIER);
     this.loop = this.context.nettyEventLoop();
     this.transport =
         closer.register(
@@ -94,7 +94,7 @@
             transport,
             random,
             List::of,
-            (holder, version) -> listener.configurationHeard(holder, version));
+            (holder, version) -> listener.configurationAnnounced(holder, version));
     metrics.registerGauge("agatefield.peers.members", (Gauge<Integer>) () -> alive().size());
     metrics.registerGauge(
         "agatefield.peers.bytes-sent", (Gauge<Long>) transport.traffic()::bytesSent);
@@ -151,7 +151,7 @@
   }
 
   /** Tells the others which configuration this instance has. */
-  void raiseVersion(long version) {
+  void announceConfigurationVersion(long version) {
     handle(new MembershipEvent.GenerationRaised(version));
   }
 
@@ -174,7 +174,7 @@
   /** Sends a message that may be lost to every other instance that is alive. */
   void broadcast(PeerMessage message) {
     tellNeighbours(message);
-    relays().direct().forEach(instance -> send(instance, message));
+    relays().directPeers().forEach(instance -> send(instance, message));
     PeerMessage relayed = new PeerMessage.Relayed(message);
     relays().relays().forEach(instance -> send(instance, relayed));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/IngressServer.java
@@ -9,7 +9,7 @@
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.IngressLimits;
 import org.agatefield.forwarding.RefusalReason;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.forwarding.Route;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -29,11 +29,11 @@
   private static final int NOT_FOUND = 404;
   private static final int BODY_TOO_LARGE = 413;
 
-  private final ForwardingParts parts;
+  private final ForwardingContext parts;
   private long heldBytes;
   private int open;
 
-  IngressServer(ForwardingParts parts) {
+  IngressServer(ForwardingContext parts) {
     this.parts = parts;
   }
 
@@ -63,7 +63,7 @@
       refuse(request, response, RefusalReason.SHUTTING_DOWN);
       return;
     }
-    RequestTerms terms = parts.dialect().callers().requestTerms(request.headers());
+    RequestMetadata terms = parts.dialect().callers().requestTerms(request.headers());
     String host = Optional.ofNullable(request.getHeader("Host")).orElse("");
     Optional<Route> route = table.get().match(host, request.path());
     if (route.isEmpty()) {
@@ -81,7 +81,7 @@
       return;
     }
     AccountTable accounts = table.get().accounts();
-    Optional<ClientAccount> account = terms.key().flatMap(accounts::holderOf);
+    Optional<ClientAccount> account = terms.key().flatMap(accounts::accountFor);
     if (account.isEmpty() && accounts.requiresKeys() && !route.get().open()) {
       LOGGER.info(
           "request={} route={} outcome=unknown_key with_key={} config={}",
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -57,9 +57,9 @@
   void tell(long nowMilliseconds) {
     periods++;
     DomainRelays relays = fleet.relays();
-    if (!relays.isDomainLarge()) {
+    if (!relays.domainHasRelay()) {
       tellDirectly(relays);
-    } else if (relays.speaks()) {
+    } else if (relays.representsDomain()) {
       tellForDomain(relays, nowMilliseconds);
     } else if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT == 0) {
       tellRelay(relays, nowMilliseconds);
@@ -67,7 +67,7 @@
   }
 
   private void tellDirectly(DomainRelays relays) {
-    Map<String, RunnerLoads.Share> own = loads.ownShares();
+    Map<String, RunnerLoads.Load> own = loads.ownLoads();
     if (own.isEmpty()) {
       return;
     }
@@ -79,7 +79,7 @@
   }
 
   private void tellRelay(DomainRelays relays, long now) {
-    Map<String, RunnerLoads.Share> own = loads.ownShares();
+    Map<String, RunnerLoads.Load> own = loads.ownLoads();
     if (own.isEmpty()) {
       unansweredSince = Long.MAX_VALUE;
       return;
@@ -98,31 +98,31 @@
     List<Instance> neighbours = relays.neighbours();
     if (periods % PERIODS_PER_DOMAIN_SUM == 0) {
       List<String> ids = neighbours.stream().map(Instance::id).toList();
-      tellOtherDomains(relays, report(domainName(), loads.sharesWith(ids, now)));
+      tellOtherDomains(relays, report(domainName(), loads.loadsWith(ids, now)));
     }
-    if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT != 0 || loads.allShares(now).isEmpty()) {
+    if (periods % PERIODS_PER_LARGE_DOMAIN_REPORT != 0 || loads.allLoads(now).isEmpty()) {
       return;
     }
     for (Instance neighbour : neighbours) {
-      fleet.send(neighbour, report(domainName(), loads.sharesWithout(neighbour.id(), now)));
+      fleet.send(neighbour, report(domainName(), loads.loadsExcept(neighbour.id(), now)));
     }
   }
 
   private void tellOtherDomains(DomainRelays relays, PeerMessage report) {
-    relays.direct().forEach(instance -> fleet.send(instance, report));
+    relays.directPeers().forEach(instance -> fleet.send(instance, report));
     relays.relays().forEach(instance -> fleet.send(instance, report));
   }
 
   /** Takes in what an instance or a failure domain has at runners. */
   void heard(PeerMessage.RunnerLoadReport report, long nowMilliseconds) {
-    Map<String, RunnerLoads.Share> shares = new HashMap<>();
+    Map<String, RunnerLoads.Load> shares = new HashMap<>();
     for (PeerMessage.RunnerShare share : report.loads()) {
       shares.put(
-          share.runner(), new RunnerLoads.Share(share.running(), share.unreadPromptTokens()));
+          share.runner(), new RunnerLoads.Load(share.running(), share.unreadPromptTokens()));
     }
     if (report.instance().equals(domainName())) {
       unansweredSince = Long.MAX_VALUE;
-      loads.heardFromAll(report.instance(), shares, nowMilliseconds);
+      loads.replaceNeighbours(report.instance(), shares, nowMilliseconds);
     } else {
       loads.heard(report.instance(), shares, nowMilliseconds);
     }
@@ -132,11 +132,11 @@
     return "domain/" + here.name();
   }
 
-  private static PeerMessage report(String reporter, Map<String, RunnerLoads.Share> reported) {
+  private static PeerMessage report(String reporter, Map<String, RunnerLoads.Load> reported) {
     List<PeerMessage.RunnerShare> shares = new ArrayList<>();
     reported.forEach(
         (runner, share) ->
-            shares.add(new PeerMessage.RunnerShare(runner, share.running(), share.unreadTokens())));
+            shares.add(new PeerMessage.RunnerShare(runner, share.running(), share.pendingPrefillTokens())));
     return new PeerMessage.RunnerLoadReport(reporter, shares);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PlannerDuty.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ModelPlanner.java
@@ -20,10 +20,10 @@
 import org.agatefield.lease.LeaseGrant;
 import org.agatefield.model.ModelDemand;
 import org.agatefield.model.WeightStoreLimits;
-import org.agatefield.placement.DemandBook;
+import org.agatefield.placement.DemandTracker;
 import org.agatefield.placement.EngineView;
 import org.agatefield.placement.LoadBudget;
-import org.agatefield.placement.ModelSize;
+import org.agatefield.placement.ModelProfile;
 import org.agatefield.placement.ReplicaMove;
 import org.agatefield.placement.ReplicaPolicy;
 import org.apache.logging.log4j.LogManager;
@@ -35,8 +35,8 @@
  * <p>Invariants: no order is sent without a valid grant; a new holder reads every runner's state
  * before its first order to it. Confined to one event loop.
  */
-final class PlannerDuty implements RunnerDirectory.Listener {
-  private static final Logger LOGGER = LogManager.getLogger(PlannerDuty.class);
+final class ModelPlanner implements RunnerDirectory.Listener {
+  private static final Logger LOGGER = LogManager.getLogger(ModelPlanner.class);
   private static final long TICK_MILLISECONDS = 200; // a fraction of the shortest load
   private static final double CONCURRENT_LOADS_PER_RATE = 3; // as the sheets' weight stores allow
   private static final long STATE_LOG_MILLISECONDS = 1_000;
@@ -49,16 +49,16 @@
   private final RunnerDialect dialect;
   private final LeaseView lease;
   private final Runnable distrustLease;
-  private final StandstillDetector standstill =
-      new StandstillDetector(MonotonicClock.milliseconds(), System.currentTimeMillis());
+  private final SuspensionDetector standstill =
+      new SuspensionDetector(MonotonicClock.milliseconds(), System.currentTimeMillis());
   private final String instance;
   private final RunnerDirectory runners;
   private final ConfigurationTracker configuration;
   private final ReplicaPolicy policy;
   private final Announcements announcements;
-  private final DemandBook demand = new DemandBook();
-  private final Map<String, EngineControl> engines = new HashMap<>();
-  private final LateOrdersByRunner lateOrders = new LateOrdersByRunner();
+  private final DemandTracker demand = new DemandTracker();
+  private final Map<String, EngineController> engines = new HashMap<>();
+  private final OutstandingOrdersByRunner lateOrders = new OutstandingOrdersByRunner();
   private final Map<String, LoadBudget> budgets = new HashMap<>();
   private boolean holding;
   private long loggedAt;
@@ -79,7 +79,7 @@
     void tookOver(long fencingToken);
   }
 
-  PlannerDuty(
+  ModelPlanner(
       Vertx vertx,
       HttpClient client,
       RunnerDialect dialect,
@@ -123,7 +123,7 @@
 
   /** Has an adapter loaded, if this instance is the planner. */
   CompletableFuture<Boolean> ensureAdapter(String runner, String model, String adapter) {
-    EngineControl engine = holding ? engines.get(runner) : null;
+    EngineController engine = holding ? engines.get(runner) : null;
     if (engine == null) {
       return CompletableFuture.completedFuture(false);
     }
@@ -139,7 +139,7 @@
 
   @Override
   public void runnerGone(String id) {
-    EngineControl gone = engines.remove(id);
+    EngineController gone = engines.remove(id);
     if (gone != null) {
       gone.abandonAll();
       lateOrders.gone(id);
@@ -148,9 +148,9 @@
 
   /** Returns the grant, unless this process stood still and another may hold the lease by now. */
   private Optional<LeaseGrant> trustedGrant() {
-    boolean stoodStill =
-        standstill.stoodStill(MonotonicClock.milliseconds(), System.currentTimeMillis());
-    if (stoodStill) {
+    boolean wasSuspended =
+        standstill.wasSuspended(MonotonicClock.milliseconds(), System.currentTimeMillis());
+    if (wasSuspended) {
       LOGGER.info("planner={} clocks=apart lease=distrusted", instance);
       distrustLease.run();
     }
@@ -169,7 +169,7 @@
       announcements.tookOver(grant.get().fencingToken());
       List.copyOf(runners.all()).forEach(entry -> take(entry, true));
     }
-    engines.values().forEach(EngineControl::tick);
+    engines.values().forEach(EngineController::tick);
     lateOrders.forget(engines::containsKey, MonotonicClock.milliseconds());
     configuration.table().ifPresent(this::plan);
   }
@@ -180,7 +180,7 @@
     }
     holding = false;
     LOGGER.info("planner={} lease=ended", instance);
-    engines.values().forEach(EngineControl::abandonAll);
+    engines.values().forEach(EngineController::abandonAll);
     engines.clear();
   }
 
@@ -189,12 +189,12 @@
     if (pool.isEmpty() || entry.models().isEmpty()) {
       return;
     }
-    EngineControl known = engines.get(entry.id());
-    LateOrders late = lateOrders.of(entry.id());
-    EngineControl engine =
+    EngineController known = engines.get(entry.id());
+    OutstandingOrders late = lateOrders.of(entry.id());
+    EngineController engine =
         known != null
             ? known
-            : new EngineControl(vertx, client, dialect, new GrantedOrders(), late);
+            : new EngineController(vertx, client, dialect, new GrantedOrders(), late);
     engines.put(entry.id(), engine);
     engine.update(entry, newLife || known == null, pool.get().adapterSlots());
   }
@@ -222,7 +222,7 @@
       if (!engines.containsKey(entry.id())) {
         take(entry, true);
       }
-      EngineControl engine = engines.get(entry.id());
+      EngineController engine = engines.get(entry.id());
       if (engine != null) {
         loading += engine.isLoadingFromStore() ? 1 : 0;
         views.add(view(entry, engine, pool));
@@ -237,7 +237,7 @@
             .refill(new WeightStoreLimits(pool.loadsPerSecond(), concurrent, ADAPTER_LOADS), now);
     int allowed = Math.min(budget.available(), Math.max(0, concurrent - loading));
     long clock = MonotonicClock.milliseconds();
-    Map<String, DemandBook.Demand> demands = demand.demands(clock);
+    Map<String, DemandTracker.Demand> demands = demand.demands(clock);
     List<ReplicaMove> moves = policy.plan(views, sizes(pool), demands, allowed);
     logState(service, views, demands, allowed, clock);
     for (ReplicaMove move : moves) {
@@ -260,7 +260,7 @@
   private void logState(
       String service,
       List<EngineView> views,
-      Map<String, DemandBook.Demand> demands,
+      Map<String, DemandTracker.Demand> demands,
       int storeLoads,
       long now) {
     long interval = STATE_LOG_MILLISECONDS * (1 + views.size() / RUNNERS_PER_SECOND_OF_LOG);
@@ -287,7 +287,7 @@
                 .append(view.id())
                 .append('=')
                 .append(String.join("+", view.held()))
-                .append(view.orderable() ? "" : ",busy"));
+                .append(view.acceptsOrders() ? "" : ",busy"));
     LOGGER.info(
         "placement_state service={} store_loads={} tokens{} runners{}",
         service,
@@ -296,7 +296,7 @@
         runnerStates);
   }
 
-  private EngineView view(RunnerEntry entry, EngineControl engine, EnginePool pool) {
+  private EngineView view(RunnerEntry entry, EngineController engine, EnginePool pool) {
     double adapters = pool.adapterSlots() * largestAdapter(pool);
     return new EngineView(
         entry.id(),
@@ -316,11 +316,11 @@
         .orElse(MAXIMUM_ADAPTER_MEGABYTES);
   }
 
-  private static List<ModelSize> sizes(EnginePool pool) {
+  private static List<ModelProfile> sizes(EnginePool pool) {
     return pool.models().stream()
         .map(
             model ->
-                new ModelSize(
+                new ModelProfile(
                     model.name(),
                     model.weightsMegabytes(),
                     model.storeLoadMilliseconds(),
@@ -330,7 +330,7 @@
   }
 
   /** Lets engines send orders while the grant holds. */
-  private final class GrantedOrders implements EngineControl.Orders {
+  private final class GrantedOrders implements EngineController.Orders {
     // A call that is under way must arrive before the grant ends.
     private static final long CALL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(200);
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/KnowledgeRelay.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ObjectRelay.java
@@ -26,7 +26,7 @@
  * because their source does not answer or has not confirmed them lately; an asker that is too far
  * behind gets all objects. Versions are this process's own. Confined to one event loop.
  */
-final class KnowledgeRelay implements InformerListener {
+final class ObjectRelay implements InformerListener {
   private static final int CHANGES_KEPT = 512; // several seconds of busy runners
   // Beyond a watch's longest wait; a process that stood still has confirmed nothing meanwhile.
   private static final long FRESH_MILLISECONDS = 2_500;
@@ -75,7 +75,7 @@
    * @param processId unique to this process
    * @param clock monotonic milliseconds
    */
-  KnowledgeRelay(Vertx vertx, String processId, LongSupplier clock) {
+  ObjectRelay(Vertx vertx, String processId, LongSupplier clock) {
     this.vertx = vertx;
     this.processId = processId;
     this.clock = clock;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LateOrders.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrders.java
@@ -14,7 +14,7 @@
  * names. Outlives the runner's entry, which lapses while the runner is down. Confined to one event
  * loop.
  */
-final class LateOrders {
+final class OutstandingOrders {
   /** How long after it was sent an order may still be carried out. */
   static final long LATE_MILLISECONDS = 13_000; // the pages say seconds; benches play twelve
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LateOrdersByRunner.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/OutstandingOrdersByRunner.java
@@ -9,12 +9,12 @@
  *
  * <p>Confined to one event loop.
  */
-final class LateOrdersByRunner {
-  private final Map<String, LateOrders> orders = new HashMap<>();
+final class OutstandingOrdersByRunner {
+  private final Map<String, OutstandingOrders> orders = new HashMap<>();
 
   /** Returns the late orders of a runner, which the caller may keep and change. */
-  LateOrders of(String runner) {
-    return orders.computeIfAbsent(runner, ignored -> new LateOrders());
+  OutstandingOrders of(String runner) {
+    return orders.computeIfAbsent(runner, ignored -> new OutstandingOrders());
   }
 
   /** A runner is gone; it may come back as another life. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PeerInbox.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PeerInbox.java
@@ -9,12 +9,12 @@
 
 /** Hands what peers send to the part that it is for. Confined to one event loop. */
 final class PeerInbox implements ForwardingPeers.Listener {
-  private final KnowledgeExchange knowledge;
-  private final Map<String, KnowledgeRelay> knowledgeRelays;
+  private final SnapshotExchange knowledge;
+  private final Map<String, ObjectRelay> knowledgeRelays;
   private final LoadExchange loads;
-  private final PlannerLink planner;
-  private final RunnerNotices notices;
-  private final HeldQuotas quotas;
+  private final PlannerClient planner;
+  private final RunnerAvailability notices;
+  private final RegionalQuotaPolicy quotas;
 
   /**
    * Creates an inbox.
@@ -22,12 +22,12 @@
    * @param knowledgeRelays by the plural of the kind that each tells of
    */
   PeerInbox(
-      KnowledgeExchange knowledge,
-      Map<String, KnowledgeRelay> knowledgeRelays,
+      SnapshotExchange knowledge,
+      Map<String, ObjectRelay> knowledgeRelays,
       LoadExchange loads,
-      PlannerLink planner,
-      RunnerNotices notices,
-      HeldQuotas quotas) {
+      PlannerClient planner,
+      RunnerAvailability notices,
+      RegionalQuotaPolicy quotas) {
     this.knowledge = knowledge;
     this.knowledgeRelays = knowledgeRelays;
     this.loads = loads;
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public void configurationHeard(Instance holder, long version) {
+  public void configurationAnnounced(Instance holder, long version) {
     knowledge.heard(holder, version);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PeriodicDuties.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PeriodicTasks.java
@@ -11,7 +11,7 @@
  * <p>Invariant: a duty runs once in its period, rounded up to whole firings of the timer; firings
  * that were missed are not made up for. Confined to one event loop.
  */
-final class PeriodicDuties {
+final class PeriodicTasks {
   private final Vertx vertx;
   private final long timerMilliseconds;
   private final EventLoopDelay delay;
@@ -26,7 +26,7 @@
    * @param timerMilliseconds the time between two firings
    * @param delay told of the firings
    */
-  PeriodicDuties(Vertx vertx, long timerMilliseconds, EventLoopDelay delay) {
+  PeriodicTasks(Vertx vertx, long timerMilliseconds, EventLoopDelay delay) {
     this.vertx = vertx;
     this.timerMilliseconds = timerMilliseconds;
     this.delay = delay;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/PlannerLink.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/PlannerClient.java
@@ -17,14 +17,14 @@
  * <p>Invariant: of two planners the one with the higher fencing token is believed. Confined to one
  * event loop.
  */
-final class PlannerLink implements PlannerDuty.Announcements {
+final class PlannerClient implements ModelPlanner.Announcements {
   /** How often {@link #reportDemand()} is to be called. */
   static final long DEMAND_MILLISECONDS = 240; // a fraction of the time that a model takes to load
 
   /** How often {@link #announce()} is to be called. */
   static final long NOTICE_MILLISECONDS = 480; // a fraction of a takeover
 
-  private static final Logger LOGGER = LogManager.getLogger(PlannerLink.class);
+  private static final Logger LOGGER = LogManager.getLogger(PlannerClient.class);
   private static final long ADAPTER_ANSWER_MILLISECONDS = 1_200;
   private static final long PLANNER_SILENCE_MILLISECONDS = 4_000;
 
@@ -34,7 +34,7 @@
   private final DemandMeter demand;
   private final Runnable refreshLease;
   private final String self;
-  private PlannerDuty planner;
+  private ModelPlanner planner;
   private Optional<PeerMessage.PlannerNotice> notice = Optional.empty();
   private long heardAt;
 
@@ -43,7 +43,7 @@
    *
    * @param refreshLease has the planner's lease read soon
    */
-  PlannerLink(
+  PlannerClient(
       ForwardingPeers peers,
       ModelPresence presence,
       WaitingRequests waiting,
@@ -58,7 +58,7 @@
   }
 
   /** Sets the planner of this instance, which plans while it holds the lease. */
-  void join(PlannerDuty own) {
+  void join(ModelPlanner own) {
     planner = own;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/QuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/QuotaPolicy.java
@@ -16,7 +16,7 @@
       ClientAccount account, double tokens, long patienceMilliseconds, Consumer<Decision> told);
 
   /** Gives the tokens of a granted request back that has not run and never will. */
-  void giveBack(ClientAccount account, double tokens);
+  void refund(ClientAccount account, double tokens);
 
   /** What was decided. */
   sealed interface Decision {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/HeldQuotas.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -35,11 +35,11 @@
  * together keep to the quota. An instance that reaches no holder grants its own equal part, which
  * it earns from then on. Confined to one event loop.
  */
-final class HeldQuotas implements QuotaPolicy {
+final class RegionalQuotaPolicy implements QuotaPolicy {
   /** How often {@link #keep} is to be called. */
   static final long KEEP_MILLISECONDS = 240;
 
-  private static final Logger LOGGER = LogManager.getLogger(HeldQuotas.class);
+  private static final Logger LOGGER = LogManager.getLogger(RegionalQuotaPolicy.class);
   private static final long ASK_MILLISECONDS = 700; // a holder with a tenth of a core is slow
   private static final long LOAN_MILLISECONDS = 300; // five times the way between regions
   private static final long RETRY_MILLISECONDS = 150; // several are tried in a holder's failure
@@ -60,7 +60,7 @@
   private final Supplier<AccountTable> accounts;
   private final QuotaHolders holders = new QuotaHolders();
   private final QuotaBuckets buckets = new QuotaBuckets();
-  private final FixedShareQuotas ownParts;
+  private final EqualShareQuotaPolicy ownParts;
   private final Set<String> unreached = new HashSet<>();
   private final Set<String> greeted = new HashSet<>(); // by the instance's identifier
   private final Map<String, Long> noLoanUntil = new HashMap<>();
@@ -97,7 +97,7 @@
    *
    * @param clock gives monotonic milliseconds
    */
-  HeldQuotas(
+  RegionalQuotaPolicy(
       Timers timers,
       LongSupplier clock,
       Fleet fleet,
@@ -110,7 +110,7 @@
     this.tolerance = tolerance;
     this.size = size;
     this.accounts = accounts;
-    this.ownParts = FixedShareQuotas.whileCutOff(tolerance, size, clock);
+    this.ownParts = EqualShareQuotaPolicy.whileCutOff(tolerance, size, clock);
   }
 
   /** Lets the buckets of the accounts that this instance holds earn before they are asked for. */
@@ -125,7 +125,7 @@
         }
       }
     }
-    buckets.forgetUnused(this::isHeldHere, now);
+    buckets.removeUnused(this::isHeldHere, now);
   }
 
   /** Opens the connection to a holder before a request has to wait for it. */
@@ -179,7 +179,7 @@
   }
 
   @Override
-  public void giveBack(ClientAccount account, double tokens) {
+  public void refund(ClientAccount account, double tokens) {
     holders.see(fleet.answering());
     if (isHeldHere(account.name())) {
       takeBack(account, tokens);
@@ -198,7 +198,7 @@
 
   private void takeBack(ClientAccount account, double tokens) {
     long now = clock.getAsLong();
-    bucket(account, now).giveBack(tokens, now);
+    bucket(account, now).refund(tokens, now);
   }
 
   private Optional<ClientAccount> account(String name) {
@@ -245,7 +245,7 @@
     TokenQuota quota = account.quota().orElseThrow();
     double seen = Math.max(1, holders.count(region()));
     TokenRate rate =
-        tolerance.rate(quota.perSecond(), quota.burst()).scaled(Math.min(1, seen / size.most(now)));
+        tolerance.rate(quota.perSecond(), quota.burst()).scaled(Math.min(1, seen / size.recentMaximum(now)));
     return buckets.bucket(account.name(), rate, now);
   }
 
@@ -280,7 +280,7 @@
       return CompletableFuture.completedFuture(new PeerMessage.QuotaAnswer(tokens, 0));
     }
     double room = Math.max(0, WANTED_SHARE * bucket.capacity() - bucket.level(now));
-    double wanted = bucket.lacking(tokens, now) + room;
+    double wanted = bucket.shortfall(tokens, now) + room;
     if (lenders.isEmpty() || wanted <= 0) {
       noLoanUntil.put(account.name(), now + NO_LOAN_MILLISECONDS);
       return CompletableFuture.completedFuture(exhausted(bucket, tokens, now));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjects.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RelayedObjectSource.java
@@ -33,8 +33,8 @@
  * returns to the others within {@link #STORE_WATCH_MILLISECONDS} after they are there. Safe for use
  * by any thread.
  */
-final class RelayedObjects implements ObjectSource {
-  private static final Logger LOGGER = LogManager.getLogger(RelayedObjects.class);
+final class RelayedObjectSource implements ObjectSource {
+  private static final Logger LOGGER = LogManager.getLogger(RelayedObjectSource.class);
   private static final String RELAYED = "relayed/";
   private static final int WAIT_MILLISECONDS =
       1_000; // a source that stands still is found in 1.3 s
@@ -62,7 +62,7 @@
    *
    * @param sources whom to ask instead of the store, best first
    */
-  RelayedObjects(
+  RelayedObjectSource(
       Vertx vertx, ObjectSource store, Supplier<List<Instance>> sources, Requests requests) {
     this.vertx = vertx;
     this.store = store;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.agatefield.daemon.forward.wire.AnswerKind;
+import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.forwarding.EventStreamSplitter;
 import org.agatefield.forwarding.ForwardedRequest;
 import org.agatefield.forwarding.RequestAction;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.forwarding.Route;
 import org.agatefield.forwarding.RunnerEntry;
 import org.apache.logging.log4j.LogManager;
@@ -33,10 +33,10 @@
 
   private static final long STALL_CHECK_MILLISECONDS = 100; // a fraction of the shortest limit
 
-  private final ForwardingParts parts;
+  private final ForwardingContext parts;
   private final Route route;
   private final String service;
-  private final RequestTerms terms;
+  private final RequestMetadata terms;
   private final long deadline;
   private final ForwardedRequest state;
   private final Consumer<List<RequestAction>> followUp;
@@ -44,10 +44,10 @@
   private final RunnerEntry runner;
   private final UpstreamCall call;
   private final long sentAt = MonotonicClock.milliseconds();
-  private final int newTokens;
+  private final int uncachedTokens;
   private final double tokensAhead;
-  private UpstreamAnswer head;
-  private UpstreamAnswer answer;
+  private UpstreamResponse head;
+  private UpstreamResponse answer;
   private byte[] event;
   private long lastActivity = sentAt;
   private boolean began;
@@ -55,7 +55,7 @@
   private long stallTimer = -1;
 
   /** What the attempt is for. Immutable. */
-  record Purpose(Route route, String service, RequestTerms terms, long deadline) {}
+  record Purpose(Route route, String service, RequestMetadata terms, long deadline) {}
 
   /**
    * Creates an attempt; nothing is sent yet.
@@ -64,7 +64,7 @@
    * @param followUp carries out what the state then decides
    */
   RequestAttempt(
-      ForwardingParts parts,
+      ForwardingContext parts,
       Purpose purpose,
       ForwardedRequest state,
       Consumer<List<RequestAction>> followUp,
@@ -87,20 +87,20 @@
             parts.dialect().runners(),
             terms.id(),
             this);
-    this.newTokens =
-        terms.prompt().map(prompt -> parts.loads().newTokens(runner.id(), prompt)).orElse(0);
-    this.tokensAhead = parts.loads().total(runner.id(), sentAt).unreadTokens() + newTokens;
+    this.uncachedTokens =
+        terms.prompt().map(prompt -> parts.loads().uncachedTokens(runner.id(), prompt)).orElse(0);
+    this.tokensAhead = parts.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
   }
 
   void start(HttpServerRequest request, Supplier<MultiMap> headers, Buffer content) {
-    parts.loads().sent(runner.id(), newTokens);
+    parts.loads().sent(runner.id(), uncachedTokens);
     terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), 1));
     watchForSilence();
     call.start(parts.client(), runner, request.method(), request.uri(), headers, content);
   }
 
   /** Returns the head of the stream that has begun. */
-  UpstreamAnswer streamHead() {
+  UpstreamResponse streamHead() {
     return head;
   }
 
@@ -110,7 +110,7 @@
   }
 
   /** Returns the whole answer, or the head of a stream that has ended. */
-  UpstreamAnswer answer() {
+  UpstreamResponse answer() {
     return answer;
   }
 
@@ -147,18 +147,18 @@
   }
 
   @Override
-  public void headReceived(UpstreamAnswer received) {
+  public void headReceived(UpstreamResponse received) {
     RunnerDialect dialect = parts.dialect().runners();
     if (dialect.isLeaving(received.headers())) {
-      parts.notices().saidThatItLeaves(runner);
+      parts.notices().leavingReported(runner);
     }
     dialect
         .quietMilliseconds(received.status(), received.headers())
-        .ifPresent(quiet -> parts.notices().askedForQuiet(runner, quiet));
+        .ifPresent(quiet -> parts.notices().backoffRequested(runner, quiet));
   }
 
   @Override
-  public void rejected(AnswerKind kind, UpstreamAnswer rejection) {
+  public void rejected(ResponseKind kind, UpstreamResponse rejection) {
     release();
     doubtPresence(kind);
     LOGGER.info(
@@ -172,7 +172,7 @@
   }
 
   @Override
-  public void failed(String cause, Optional<UpstreamAnswer> failure) {
+  public void failed(String cause, Optional<UpstreamResponse> failure) {
     release();
     parts.selector().failed(runner.id());
     LOGGER.info(
@@ -187,7 +187,7 @@
   }
 
   @Override
-  public void answered(UpstreamAnswer whole) {
+  public void answered(UpstreamResponse whole) {
     begin();
     release();
     parts.selector().succeeded(runner.id());
@@ -196,7 +196,7 @@
   }
 
   @Override
-  public void event(UpstreamAnswer streamHead, EventStreamSplitter.Event next) {
+  public void event(UpstreamResponse streamHead, EventStreamSplitter.Event next) {
     if (!next.empty()) {
       lastActivity = MonotonicClock.milliseconds();
       parts.selector().heard(runner.id(), lastActivity);
@@ -208,7 +208,7 @@
   }
 
   @Override
-  public void ended(UpstreamAnswer streamHead) {
+  public void ended(UpstreamResponse streamHead) {
     release();
     parts.selector().succeeded(runner.id());
     answer = streamHead;
@@ -221,13 +221,13 @@
     }
     began = true;
     long milliseconds = MonotonicClock.milliseconds() - sentAt;
-    parts.loads().read(runner.id(), newTokens);
+    parts.loads().read(runner.id(), uncachedTokens);
     parts.selector().began(runner.id(), milliseconds);
     if (terms.prompt().isPresent()) {
-      parts.loads().measuredReading(runner.id(), tokensAhead, milliseconds);
-      parts.loads().keptParts(runner.id(), terms.prompt().get());
+      parts.loads().recordPrefillTime(runner.id(), tokensAhead, milliseconds);
+      parts.loads().recordCachedParts(runner.id(), terms.prompt().get());
     } else {
-      parts.loads().measuredRequest(runner.id(), milliseconds);
+      parts.loads().recordRequestTime(runner.id(), milliseconds);
     }
   }
 
@@ -238,19 +238,19 @@
     released = true;
     parts.vertx().cancelTimer(stallTimer);
     if (!began) {
-      parts.loads().read(runner.id(), newTokens);
+      parts.loads().read(runner.id(), uncachedTokens);
     }
     parts.loads().ended(runner.id());
     terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), -1));
   }
 
   /** A runner also turns requests away for a model that it is loading or dropping. */
-  private void doubtPresence(AnswerKind kind) {
+  private void doubtPresence(ResponseKind kind) {
     terms
         .prompt()
         .ifPresent(
             prompt -> {
-              if (kind == AnswerKind.MISDIRECTED && prompt.adapter().isPresent()) {
+              if (kind == ResponseKind.MISDIRECTED && prompt.adapter().isPresent()) {
                 parts.presence().denyAdapter(runner.id(), prompt.model(), prompt.adapter().get());
               } else {
                 parts
@@ -282,7 +282,7 @@
 
   private long stallLimit() {
     long runnerSilent = parts.selector().silentMilliseconds(runner.id());
-    return StallLimits.milliseconds(route, began, deadline - lastActivity, runnerSilent);
+    return StallTimeouts.milliseconds(route, began, deadline - lastActivity, runnerSilent);
   }
 
   private void stalled(long silent) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestExchange.java
@@ -12,11 +12,11 @@
 import org.agatefield.forwarding.ClientAccount;
 import org.agatefield.forwarding.ForwardedRequest;
 import org.agatefield.forwarding.ForwardingTable;
-import org.agatefield.forwarding.PromptTerms;
+import org.agatefield.forwarding.GenerationParameters;
 import org.agatefield.forwarding.RefusalReason;
 import org.agatefield.forwarding.RequestAction;
-import org.agatefield.forwarding.RequestTerms;
-import org.agatefield.forwarding.ReturnAdvice;
+import org.agatefield.forwarding.RequestMetadata;
+import org.agatefield.forwarding.RetryDelay;
 import org.agatefield.forwarding.Route;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.SendPolicy;
@@ -40,12 +40,12 @@
   private static final int MOST_URGENT = 0;
   private static final int LEAST_URGENT = 9;
 
-  private final ForwardingParts parts;
+  private final ForwardingContext parts;
   private final HttpServerRequest request;
   private final CallerResponse response;
   private final Route route;
   private final String service;
-  private final RequestTerms terms;
+  private final RequestMetadata terms;
   private final Buffer content;
   private final long arrivedAt;
   private final long deadline;
@@ -69,10 +69,10 @@
    * @param account the client account that it belongs to; empty where none is needed
    */
   record Admitted(
-      ForwardingTable table, Route route, Optional<ClientAccount> account, RequestTerms terms) {}
+      ForwardingTable table, Route route, Optional<ClientAccount> account, RequestMetadata terms) {}
 
   RequestExchange(
-      ForwardingParts parts,
+      ForwardingContext parts,
       HttpServerRequest request,
       Admitted admitted,
       Buffer content,
@@ -93,10 +93,10 @@
             route.timeoutMilliseconds(),
             terms.deadlineMilliseconds().orElse(route.timeoutMilliseconds()));
     this.deadline = arrivedAt + Math.max(1, allowed - ANSWER_MARGIN_MILLISECONDS);
-    this.beginBy = Math.min(deadline, arrivedAt + CallerPatience.milliseconds(route));
+    this.beginBy = Math.min(deadline, arrivedAt + ResponseStartTimeout.milliseconds(route));
     this.state =
         new ForwardedRequest(
-            route.repetition(),
+            route.retryMode(),
             route.maximumAttempts(),
             terms.lastEventId(),
             () -> parts.budgets().tryTake(service));
@@ -155,7 +155,7 @@
   private void giveQuotaBack() {
     account
         .flatMap(ClientAccount::quota)
-        .ifPresent(quota -> parts.quotas().giveBack(account.get(), quota.cost(terms)));
+        .ifPresent(quota -> parts.quotas().refund(account.get(), quota.cost(terms)));
   }
 
   private void begin() {
@@ -217,7 +217,7 @@
       sendOrWait(found, now);
     } else if (selection instanceof RunnerSelector.Selection.NoRunner) {
       refuseOrWait(RefusalReason.NO_RUNNER);
-    } else if (selection instanceof RunnerSelector.Selection.AllQuiet quiet) {
+    } else if (selection instanceof RunnerSelector.Selection.AllBackingOff quiet) {
       waitForQuiet(quiet.untilMilliseconds(), now);
     } else if (selection instanceof RunnerSelector.Selection.ModelAbsent) {
       waitForModel(now);
@@ -303,7 +303,7 @@
 
   /** Sends to a runner, once it has the adapter that is needed. */
   private void take(RunnerEntry runner, long now) {
-    Optional<String> adapter = terms.prompt().flatMap(PromptTerms::adapter);
+    Optional<String> adapter = terms.prompt().flatMap(GenerationParameters::adapter);
     if (adapter.isEmpty()) {
       sendTo(runner);
       return;
@@ -356,7 +356,7 @@
     if (current == table || account.isEmpty() || !needed) {
       return true;
     }
-    return terms.key().flatMap(current.accounts()::holderOf).isPresent();
+    return terms.key().flatMap(current.accounts()::accountFor).isPresent();
   }
 
   private void send(RequestAction.Send send) {
@@ -413,9 +413,9 @@
         firstEventAt < 0 ? -1 : firstEventAt - arrivedAt,
         elapsed,
         deadline - arrivedAt,
-        terms.prompt().map(PromptTerms::model).orElse(""),
-        terms.prompt().flatMap(PromptTerms::adapter).orElse(""),
-        terms.prompt().map(PromptTerms::promptTokens).orElse(0),
+        terms.prompt().map(GenerationParameters::model).orElse(""),
+        terms.prompt().flatMap(GenerationParameters::adapter).orElse(""),
+        terms.prompt().map(GenerationParameters::promptTokens).orElse(0),
         table.version(),
         account.map(ClientAccount::name).orElse(""));
   }
@@ -435,7 +435,7 @@
       if (quotaTaken) {
         giveQuotaBack();
       }
-      long returnIn = ReturnAdvice.milliseconds(refusal.reason(), usefulIn);
+      long returnIn = RetryDelay.milliseconds(refusal.reason(), usefulIn);
       response.refuse(refusal.reason(), CallerResponse.spread(returnIn));
       return "refused_" + refusal.reason();
     } else if (last instanceof RequestAction.Fail failure) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/AnswerMemory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ResponseMemory.java
@@ -7,7 +7,7 @@
  * before they take the memory of the others, while answers of the usual size always find room.
  * Confined to one event loop.
  */
-final class AnswerMemory {
+final class ResponseMemory {
   private static final int ANSWER_BYTES = 16 * 1_048_576; // far beyond any usual answer
   private static final long TOTAL_BYTES = 24L * 1_048_576; // a seventh of the usual heap
   private static final int USUAL_ANSWER_BYTES = 256 * 1_024;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RetryBudgets.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RetryBudgets.java
@@ -41,7 +41,7 @@
   }
 
   private double reserve(long now) {
-    return RESERVE_USED * terms.retryReserve() / fleet.most(now);
+    return RESERVE_USED * terms.retryReserve() / fleet.recentMaximum(now);
   }
 
   private WindowedRetryBudget budget(String service) {
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerNotices.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -18,42 +18,42 @@
  * was said here first is told to the other instances, and what they tell is taken in. Confined to
  * one event loop.
  */
-final class RunnerNotices {
-  private static final Logger LOGGER = LogManager.getLogger(RunnerNotices.class);
+final class RunnerAvailability {
+  private static final Logger LOGGER = LogManager.getLogger(RunnerAvailability.class);
 
   private final Consumer<PeerMessage> broadcast;
   private final Map<String, Leaving> leaving = new HashMap<>();
   private final Map<String, Quiet> quiet = new HashMap<>();
 
-  private record Leaving(long bornMilliseconds, long sinceMilliseconds) {}
+  private record Leaving(long startTimeMilliseconds, long sinceMilliseconds) {}
 
-  private record Quiet(long bornMilliseconds, long untilMilliseconds) {}
+  private record Quiet(long startTimeMilliseconds, long untilMilliseconds) {}
 
   /** Creates notices that tells new ones by {@code broadcast}. */
-  RunnerNotices(Consumer<PeerMessage> broadcast) {
+  RunnerAvailability(Consumer<PeerMessage> broadcast) {
     this.broadcast = broadcast;
   }
 
   /** A runner said in an answer that it leaves. */
-  void saidThatItLeaves(RunnerEntry runner) {
+  void leavingReported(RunnerEntry runner) {
     if (isLeaving(runner)) {
       return;
     }
-    leave(runner.id(), runner.bornMilliseconds(), MonotonicClock.milliseconds());
+    leave(runner.id(), runner.startTimeMilliseconds(), MonotonicClock.milliseconds());
     broadcast.accept(
         new PeerMessage.RunnerNotice(
-            runner.id(), runner.bornMilliseconds(), OptionalLong.of(0), 0));
+            runner.id(), runner.startTimeMilliseconds(), OptionalLong.of(0), 0));
   }
 
   /** A runner turned a request away and wants no more for a while. */
-  void askedForQuiet(RunnerEntry runner, long milliseconds) {
+  void backoffRequested(RunnerEntry runner, long milliseconds) {
     long now = MonotonicClock.milliseconds();
-    boolean known = quietUntil(runner, now) > now;
-    rest(runner.id(), runner.bornMilliseconds(), now + milliseconds);
+    boolean known = backoffUntil(runner, now) > now;
+    rest(runner.id(), runner.startTimeMilliseconds(), now + milliseconds);
     if (!known) {
       broadcast.accept(
           new PeerMessage.RunnerNotice(
-              runner.id(), runner.bornMilliseconds(), OptionalLong.empty(), milliseconds));
+              runner.id(), runner.startTimeMilliseconds(), OptionalLong.empty(), milliseconds));
     }
   }
 
@@ -61,24 +61,24 @@
   void heard(PeerMessage.RunnerNotice notice, long now) {
     notice
         .leavingAgeMilliseconds()
-        .ifPresent(age -> leave(notice.runner(), notice.bornMilliseconds(), now - age));
+        .ifPresent(age -> leave(notice.runner(), notice.startTimeMilliseconds(), now - age));
     if (notice.quietMilliseconds() > 0) {
-      rest(notice.runner(), notice.bornMilliseconds(), now + notice.quietMilliseconds());
+      rest(notice.runner(), notice.startTimeMilliseconds(), now + notice.quietMilliseconds());
     }
   }
 
   boolean isLeaving(RunnerEntry runner) {
     Leaving known = leaving.get(runner.id());
-    return known != null && known.bornMilliseconds() == runner.bornMilliseconds();
+    return known != null && known.startTimeMilliseconds() == runner.startTimeMilliseconds();
   }
 
   /**
    * Returns when a runner takes requests again, in monotonic milliseconds; {@code now} or before if
    * it does.
    */
-  long quietUntil(RunnerEntry runner, long now) {
+  long backoffUntil(RunnerEntry runner, long now) {
     Quiet known = quiet.get(runner.id());
-    boolean current = known != null && known.bornMilliseconds() == runner.bornMilliseconds();
+    boolean current = known != null && known.startTimeMilliseconds() == runner.startTimeMilliseconds();
     return current ? known.untilMilliseconds() : now;
   }
 
@@ -90,7 +90,7 @@
 
   private void leave(String runner, long born, long since) {
     Leaving known = leaving.get(runner);
-    if (known != null && known.bornMilliseconds() >= born) {
+    if (known != null && known.startTimeMilliseconds() >= born) {
       return;
     }
     leaving.put(runner, new Leaving(born, since));
@@ -104,7 +104,7 @@
   private void rest(String runner, long born, long until) {
     Quiet known = quiet.get(runner);
     boolean longer =
-        known != null && known.bornMilliseconds() == born && known.untilMilliseconds() >= until;
+        known != null && known.startTimeMilliseconds() == born && known.untilMilliseconds() >= until;
     if (longer) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerCalls.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerClient.java
@@ -17,7 +17,7 @@
  * <p>Every call names the runner that it is meant for, since addresses are used again. Futures
  * complete on the event loop that calls; confined to one.
  */
-final class RunnerCalls {
+final class RunnerClient {
   private static final long CALL_MILLISECONDS = 350; // five times the way to the other region
   private static final long WHOLE_CALL_MILLISECONDS = 2 * CALL_MILLISECONDS; // bytes may drip
   private static final int MAXIMUM_ANSWER_BYTES = 1_048_576; // a report of a thousand runs
@@ -28,7 +28,7 @@
   /** What a runner answered. Immutable. */
   record Answer(int status, Buffer body) {}
 
-  RunnerCalls(HttpClient client, RunnerDialect dialect) {
+  RunnerClient(HttpClient client, RunnerDialect dialect) {
     this.client = client;
     this.dialect = dialect;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.agatefield.daemon.forward.wire.KnowledgeDialect;
+import org.agatefield.daemon.forward.wire.StoredObjectDialect;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.store.InformerListener;
 import org.agatefield.store.ObjectKey;
@@ -31,7 +31,7 @@
 
   private static final Logger LOGGER = LogManager.getLogger(RunnerDirectory.class);
 
-  private final KnowledgeDialect dialect;
+  private final StoredObjectDialect dialect;
   private final Map<String, RunnerEntry> entries = new HashMap<>();
   private final Map<String, JsonNode> contents = new HashMap<>();
   private final Map<String, Long> lapsedAt = new HashMap<>();
@@ -50,7 +50,7 @@
     void runnerGone(String id);
   }
 
-  RunnerDirectory(KnowledgeDialect dialect) {
+  RunnerDirectory(StoredObjectDialect dialect) {
     this.dialect = dialect;
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** Takes entries from another instance, for runners that nothing is known of yet. */
-  void learnFromPeer(String id, JsonNode content, long ageMilliseconds) {
+  void addFromPeer(String id, JsonNode content, long ageMilliseconds) {
     if (!entries.containsKey(id)) {
       LOGGER.info("runner={} source=peer age_ms={}", id, ageMilliseconds);
       learn(id, content, "peer");
@@ -152,7 +152,7 @@
     RunnerEntry before = entries.put(id, entry);
     usableByService.clear();
     contents.put(id, content);
-    boolean newLife = before == null || before.bornMilliseconds() != entry.bornMilliseconds();
+    boolean newLife = before == null || before.startTimeMilliseconds() != entry.startTimeMilliseconds();
     boolean newState = newLife || before.draining() != entry.draining();
     if (newState) {
       LOGGER.info(
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.agatefield.forwarding.PromptTerms;
+import org.agatefield.forwarding.GenerationParameters;
 import org.agatefield.forwarding.RunnerCandidate;
 import org.agatefield.forwarding.RunnerCandidate.Distance;
-import org.agatefield.forwarding.RunnerChoice;
+import org.agatefield.forwarding.RunnerChooser;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerLoads;
 import org.agatefield.model.FailureDomain;
@@ -30,8 +30,8 @@
   private final RunnerDirectory directory;
   private final RunnerLoads loads;
   private final ModelPresence presence;
-  private final RunnerNotices notices;
-  private final RunnerChoice choice;
+  private final RunnerAvailability notices;
+  private final RunnerChooser choice;
   private final OutlierDetector outliers = new OutlierDetector(EJECTION_NANOSECONDS);
 
   private final Map<String, Long> heardAt = new HashMap<>();
@@ -49,7 +49,7 @@
      *
      * @param untilMilliseconds when the first takes them again, in monotonic milliseconds
      */
-    record AllQuiet(long untilMilliseconds) implements Selection {}
+    record AllBackingOff(long untilMilliseconds) implements Selection {}
 
     /** Runners of the service exist, but none has the model. */
     record ModelAbsent() implements Selection {}
@@ -64,8 +64,8 @@
       RunnerDirectory directory,
       RunnerLoads loads,
       ModelPresence presence,
-      RunnerNotices notices,
-      RunnerChoice choice) {
+      RunnerAvailability notices,
+      RunnerChooser choice) {
     this.here = here;
     this.regions = regions;
     this.directory = directory;
@@ -76,7 +76,7 @@
     directory.listen(this);
   }
 
-  Selection select(String service, Optional<PromptTerms> prompt, Set<String> tried, long now) {
+  Selection select(String service, Optional<GenerationParameters> prompt, Set<String> tried, long now) {
     List<RunnerEntry> usable =
         directory.usable(service).stream().filter(entry -> !notices.isLeaving(entry)).toList();
     if (usable.isEmpty()) {
@@ -88,10 +88,10 @@
       return new Selection.ModelAbsent();
     }
     List<RunnerEntry> able =
-        holding.stream().filter(entry -> notices.quietUntil(entry, now) <= now).toList();
+        holding.stream().filter(entry -> notices.backoffUntil(entry, now) <= now).toList();
     if (able.isEmpty()) {
-      return new Selection.AllQuiet(
-          holding.stream().mapToLong(each -> notices.quietUntil(each, now)).min().orElse(now));
+      return new Selection.AllBackingOff(
+          holding.stream().mapToLong(each -> notices.backoffUntil(each, now)).min().orElse(now));
     }
     List<RunnerEntry> healthy = outliers.admitted(able, RunnerEntry::id, System.nanoTime());
     List<RunnerEntry> fresh = without(healthy, tried);
@@ -113,9 +113,9 @@
     return directory
         .entry(runner.id())
         .filter(entry -> !entry.draining())
-        .filter(entry -> entry.bornMilliseconds() == runner.bornMilliseconds())
+        .filter(entry -> entry.startTimeMilliseconds() == runner.startTimeMilliseconds())
         .filter(entry -> !notices.isLeaving(entry))
-        .filter(entry -> notices.quietUntil(entry, now) <= now)
+        .filter(entry -> notices.backoffUntil(entry, now) <= now)
         .isPresent();
   }
 
@@ -142,7 +142,7 @@
   }
 
   void began(String runner, long milliseconds) {
-    outliers.firstPart(runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
+    outliers.firstPartReceived(runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
   }
 
   @Override
@@ -150,7 +150,7 @@
     presence.entryChanged(entry, MonotonicClock.milliseconds());
     if (newLife) {
       presence.forget(entry.id());
-      loads.forgetKeptParts(entry.id());
+      loads.clearCachedParts(entry.id());
       outliers.forget(entry.id());
     }
   }
@@ -163,7 +163,7 @@
     outliers.forget(id);
   }
 
-  private boolean isAble(RunnerEntry entry, Optional<PromptTerms> prompt, long now) {
+  private boolean isAble(RunnerEntry entry, Optional<GenerationParameters> prompt, long now) {
     return prompt.isEmpty() || presence.hasModel(entry, prompt.get().model(), now);
   }
 
@@ -171,11 +171,11 @@
     return entries.stream().filter(entry -> !tried.contains(entry.id())).toList();
   }
 
-  private RunnerCandidate candidate(RunnerEntry entry, Optional<PromptTerms> prompt, long now) {
-    RunnerLoads.Share share = loads.total(entry.id(), now);
+  private RunnerCandidate candidate(RunnerEntry entry, Optional<GenerationParameters> prompt, long now) {
+    RunnerLoads.Load share = loads.total(entry.id(), now);
     boolean adapterPresent =
         prompt
-            .flatMap(PromptTerms::adapter)
+            .flatMap(GenerationParameters::adapter)
             .map(name -> presence.hasAdapter(entry.id(), prompt.get().model(), name, now))
             .orElse(true);
     return new RunnerCandidate(
@@ -183,10 +183,10 @@
         distance(entry.failureDomain()),
         share.running(),
         entry.slots(),
-        share.unreadTokens(),
+        share.pendingPrefillTokens(),
         loads.millisecondsPerToken(entry.id()),
         prompt.isPresent() ? 0 : loads.millisecondsPerRequest(entry.id()),
-        prompt.map(terms -> loads.newTokens(entry.id(), terms)).orElse(0),
+        prompt.map(terms -> loads.uncachedTokens(entry.id(), terms)).orElse(0),
         adapterPresent);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/KnowledgeExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/SnapshotExchange.java
@@ -19,8 +19,8 @@
  *
  * <p>Confined to one event loop.
  */
-final class KnowledgeExchange {
-  private static final Logger LOGGER = LogManager.getLogger(KnowledgeExchange.class);
+final class SnapshotExchange {
+  private static final Logger LOGGER = LogManager.getLogger(SnapshotExchange.class);
   // The own watch usually brings a new version first.
   private static final long PATIENCE_MILLISECONDS = 400;
   private static final long RETRY_MILLISECONDS = 700;
@@ -35,7 +35,7 @@
   private ForwardingPeers peers;
   private boolean asking;
 
-  KnowledgeExchange(Vertx vertx, ConfigurationTracker configuration, RunnerDirectory runners) {
+  SnapshotExchange(Vertx vertx, ConfigurationTracker configuration, RunnerDirectory runners) {
     this.vertx = vertx;
     this.configuration = configuration;
     this.runners = runners;
@@ -112,7 +112,7 @@
       CompressedJson.decompress(each)
           .ifPresent(
               entry ->
-                  runners.learnFromPeer(
+                  runners.addFromPeer(
                       entry.path(NAME_FIELD).asText(),
                       entry.path(CONTENT_FIELD),
                       snapshot.ageMilliseconds()));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/StallLimits.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/StallTimeouts.java
@@ -10,7 +10,7 @@
  * requests again would have their prompts read twice and make it worse. A runner that still sends
  * to other requests is taken to be busy, one that sends nothing to be lost. Stateless.
  */
-final class StallLimits {
+final class StallTimeouts {
   private static final long LOST_RUNNER_MILLISECONDS = 700; // some ten of the longest steps
   // Leaves more than half of the time for the second attempt.
   private static final double SHARE_OF_REMAINING = 0.35;
@@ -19,7 +19,7 @@
   private static final double GAP_OBJECTIVES = 5; // callers leave a stream after eight
   private static final double BUSY_GAP_OBJECTIVES = 12;
 
-  private StallLimits() {}
+  private StallTimeouts() {}
 
   /**
    * Returns the limit.
--- a/daemon/src/main/java/org/agatefield/daemon/forward/StandstillDetector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/SuspensionDetector.java
@@ -6,20 +6,20 @@
  * <p>The monotonic clock does not count the time of a suspended machine, the time of day does. A
  * step of the time of day looks the same; it costs one read of the lease. Confined to one thread.
  */
-final class StandstillDetector {
+final class SuspensionDetector {
   private static final long TOLERANCE_MILLISECONDS = 250; // clocks are read at slightly other times
 
   private long monotonic;
   private long wall;
 
   /** Creates a detector that has seen the clocks at these readings. */
-  StandstillDetector(long monotonicMilliseconds, long wallMilliseconds) {
+  SuspensionDetector(long monotonicMilliseconds, long wallMilliseconds) {
     this.monotonic = monotonicMilliseconds;
     this.wall = wallMilliseconds;
   }
 
   /** Returns whether the clocks went apart since the call before. */
-  boolean stoodStill(long monotonicMilliseconds, long wallMilliseconds) {
+  boolean wasSuspended(long monotonicMilliseconds, long wallMilliseconds) {
     long apart = (wallMilliseconds - wall) - (monotonicMilliseconds - monotonic);
     monotonic = monotonicMilliseconds;
     wall = wallMilliseconds;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.agatefield.daemon.forward.wire.AnswerKind;
+import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.forwarding.EventStreamSplitter;
 import org.agatefield.forwarding.RunnerEntry;
@@ -37,15 +37,15 @@
   private final RunnerDialect dialect;
   private final String requestId;
   private final Listener listener;
-  private final AnswerMemory.Share memory;
+  private final ResponseMemory.Share memory;
   private final EventStreamSplitter splitter = new EventStreamSplitter();
   private final Buffer body = Buffer.buffer();
   private HttpClientRequest request;
   private boolean over;
   private int interimAnswers;
-  private UpstreamAnswer head;
+  private UpstreamResponse head;
   private boolean stream;
-  private AnswerKind kind = AnswerKind.UNUSABLE;
+  private ResponseKind kind = ResponseKind.UNUSABLE;
 
   /** Told what comes of the call, on the event loop. */
   interface Listener {
@@ -59,28 +59,28 @@
     void unreached(String cause);
 
     /** The head of an answer came, whatever it answers. */
-    void headReceived(UpstreamAnswer head);
+    void headReceived(UpstreamResponse head);
 
     /** The runner did not run the request and never will. */
-    void rejected(AnswerKind kind, UpstreamAnswer answer);
+    void rejected(ResponseKind kind, UpstreamResponse answer);
 
     /** The request may have run; the answer is there if it can be passed on. */
-    void failed(String cause, Optional<UpstreamAnswer> answer);
+    void failed(String cause, Optional<UpstreamResponse> answer);
 
     /** A whole answer with success came. */
-    void answered(UpstreamAnswer answer);
+    void answered(UpstreamResponse answer);
 
     /** A whole event of a stream came. */
-    void event(UpstreamAnswer head, EventStreamSplitter.Event event);
+    void event(UpstreamResponse head, EventStreamSplitter.Event event);
 
     /** A stream ended as the protocol says. */
-    void ended(UpstreamAnswer head);
+    void ended(UpstreamResponse head);
   }
 
   UpstreamCall(
       Vertx vertx,
       EventLoopDelay delay,
-      AnswerMemory.Share memory,
+      ResponseMemory.Share memory,
       RunnerDialect dialect,
       String requestId,
       Listener listener) {
@@ -165,20 +165,20 @@
       return;
     }
     response.exceptionHandler(this::broken);
-    head = new UpstreamAnswer(response.statusCode(), response.headers(), body);
-    kind = dialect.answerKind(response.statusCode(), response.headers(), requestId);
+    head = new UpstreamResponse(response.statusCode(), response.headers(), body);
+    kind = dialect.responseKind(response.statusCode(), response.headers(), requestId);
     listener.headReceived(head);
-    if (kind == AnswerKind.UNUSABLE) {
+    if (kind == ResponseKind.UNUSABLE) {
       unusable(response);
       return;
     }
-    if (kind == AnswerKind.REJECTED || kind == AnswerKind.MISDIRECTED) {
+    if (kind == ResponseKind.REJECTED || kind == ResponseKind.MISDIRECTED) {
       reject(); // the head says all; a body may have no end
       return;
     }
     String contentType = response.getHeader("Content-Type");
     stream =
-        kind == AnswerKind.SUCCESS
+        kind == ResponseKind.SUCCESS
             && contentType != null
             && contentType.toLowerCase(Locale.ROOT).startsWith(EVENT_STREAM);
     response.handler(this::read);
@@ -234,7 +234,7 @@
     if (!end()) {
       return;
     }
-    if (kind == AnswerKind.SUCCESS) {
+    if (kind == ResponseKind.SUCCESS) {
       succeed();
     } else {
       listener.failed("status " + head.status(), Optional.of(head));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamResponse.java
@@ -10,4 +10,4 @@
  * @param headers the headers as they came
  * @param body the whole body; empty for a stream
  */
-record UpstreamAnswer(int status, MultiMap headers, Buffer body) {}
+record UpstreamResponse(int status, MultiMap headers, Buffer body) {}
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/CallerDialect.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
-import org.agatefield.forwarding.RequestTerms;
+import org.agatefield.forwarding.RequestMetadata;
 import org.agatefield.model.Address;
 
 /** How callers and the platform's checks talk to an instance. Stateless. */
@@ -17,13 +17,13 @@
   String directoryPath();
 
   /** Reads where an asking caller lies. */
-  Whereabouts whereabouts(MultiMap parameters);
+  CallerLocation callerLocation(MultiMap parameters);
 
   /** Writes the answer to which instances to use. */
   Buffer directoryAnswer(List<Address> addresses, Duration timeToLive);
 
   /** Reads what a request's headers say; absent parts are empty. */
-  RequestTerms requestTerms(MultiMap headers);
+  RequestMetadata requestTerms(MultiMap headers);
 
   /** Returns the name of the header that carries a client's key. */
   String keyHeader();
@@ -37,5 +37,5 @@
    * @param region empty text if it did not say
    * @param failureDomain empty text if it did not say
    */
-  record Whereabouts(String region, String failureDomain) {}
+  record CallerLocation(String region, String failureDomain) {}
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/AnswerKind.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/ResponseKind.java
@@ -1,7 +1,7 @@
 package org.agatefield.daemon.forward.wire;
 
 /** What a runner's answer says about the request. */
-public enum AnswerKind {
+public enum ResponseKind {
   /** It ran and succeeded. */
   SUCCESS,
   /** It ran and failed; the answer may be passed on as it is. */
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
@@ -12,7 +12,7 @@
   void writeTerms(SendTerms terms, MultiMap headers);
 
   /** Reads what kind of answer came to a request. */
-  AnswerKind answerKind(int status, MultiMap headers, String requestId);
+  ResponseKind responseKind(int status, MultiMap headers, String requestId);
 
   /** Returns whether an answer says that its runner is about to end. */
   boolean isLeaving(MultiMap headers);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/KnowledgeDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/StoredObjectDialect.java
@@ -6,7 +6,7 @@
 import org.agatefield.forwarding.RunnerEntry;
 
 /** How the store spells the operator's configuration and the runners' entries. Stateless. */
-public interface KnowledgeDialect {
+public interface StoredObjectDialect {
   /** Returns the name of the object that holds the configuration. */
   String configurationName();
 
--- a/daemon/src/main/java/org/agatefield/daemon/http/AdapterOrder.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/AdapterOrder.java
@@ -15,9 +15,9 @@
   private AdapterOrder() {}
 
   /** Completes once the engine holds the adapter of the attempt. */
-  static CompletableFuture<Void> send(CallerApiParts parts, Dispatch dispatch) {
+  static CompletableFuture<Void> send(CallerApiDependencies dependencies, Dispatch dispatch) {
     String name = dispatch.adapter().orElseThrow();
-    Optional<Adapter> adapter = parts.configuration().current().adapter(name);
+    Optional<Adapter> adapter = dependencies.configuration().current().adapter(name);
     if (adapter.isEmpty()) {
       return CompletableFuture.failedFuture(notLoaded(name, "it is no longer configured"));
     }
@@ -28,7 +28,7 @@
             name,
             adapter.get().memoryMegabytes(),
             0);
-    return parts
+    return dependencies
         .engines()
         .order(dispatch.upstream().address(), order)
         .handle((result, failure) -> check(name, result, failure));
--- a/daemon/src/main/java/org/agatefield/daemon/http/AnswerNames.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/AnswerIdentity.java
@@ -9,8 +9,8 @@
  * @param id the answer's identifier as a JSON string
  * @param model the model that the caller asked for as a JSON string
  */
-record AnswerNames(Buffer id, Buffer model) {
-  static AnswerNames of(String id, String model) {
-    return new AnswerNames(Buffer.buffer(Json.encode(id)), Buffer.buffer(Json.encode(model)));
+record AnswerIdentity(Buffer id, Buffer model) {
+  static AnswerIdentity of(String id, String model) {
+    return new AnswerIdentity(Buffer.buffer(Json.encode(id)), Buffer.buffer(Json.encode(model)));
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/RunHistory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/AttemptHistory.java
@@ -12,7 +12,7 @@
  * <p>Invariant: a final failure says "not run" only if every attempt is known not to have run.
  * Confined to the context of its request.
  */
-final class RunHistory {
+final class AttemptHistory {
   private RunState worst = RunState.NO;
   private Optional<VersionId> version = Optional.empty();
   private Optional<AgatefieldException> lastFailure = Optional.empty();
@@ -45,7 +45,7 @@
   }
 
   /** Returns the failure of a stream that could only go on with another version. */
-  AgatefieldException otherVersion() {
+  AgatefieldException versionUnavailable() {
     return new AgatefieldException(
         ErrorKind.UPSTREAM_ANSWER_CUT, "no other replica of the answer's version is left");
   }
@@ -55,12 +55,12 @@
     if (worst == RunState.NO) {
       return failure;
     }
-    AgatefieldException told = failure;
+    AgatefieldException reported = failure;
     if (failure.runState() == RunState.NO) {
-      told = lastFailure.orElse(failure);
+      reported = lastFailure.orElse(failure);
     }
     return new AgatefieldException(
-        told.kind(), worst, told.getMessage(), failure.retryAfter().orElse(null), failure);
+        reported.kind(), worst, reported.getMessage(), failure.retryAfter().orElse(null), failure);
   }
 
   /** Returns what the caller is told when the deadline ends the request. */
--- a/daemon/src/main/java/org/agatefield/daemon/http/BodyReader.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/BodyReader.java
@@ -20,18 +20,18 @@
 
   private final Vertx vertx;
   private final long maximumBodyBytes;
-  private final long maximumHeldBytes;
-  private final AtomicLong heldBytes = new AtomicLong();
+  private final long maximumBufferedBytes;
+  private final AtomicLong bufferedBytes = new AtomicLong();
 
-  BodyReader(Vertx vertx, long maximumBodyBytes, long maximumHeldBytes) {
+  BodyReader(Vertx vertx, long maximumBodyBytes, long maximumBufferedBytes) {
     this.vertx = vertx;
     this.maximumBodyBytes = maximumBodyBytes;
-    this.maximumHeldBytes = maximumHeldBytes;
+    this.maximumBufferedBytes = maximumBufferedBytes;
   }
 
   /** Returns the bytes of all bodies that are held. */
-  long heldBytes() {
-    return heldBytes.get();
+  long bufferedBytes() {
+    return bufferedBytes.get();
   }
 
   /**
@@ -40,25 +40,25 @@
    * <p>Fails with BODY_TOO_LARGE, OVERLOADED, or INVALID_REQUEST if the body ends too early.
    */
   Future<Buffer> read(HttpServerRequest request) {
-    long announced = announcedBytes(request);
-    if (announced > maximumBodyBytes) {
+    long declaredBytes = declaredLength(request);
+    if (declaredBytes > maximumBodyBytes) {
       return refuse(request, tooLarge());
     }
-    if (heldBytes.get() + Math.max(0, announced) > maximumHeldBytes) {
+    if (bufferedBytes.get() + Math.max(0, declaredBytes) > maximumBufferedBytes) {
       return refuse(request, overloaded());
     }
     if ("100-continue".equalsIgnoreCase(request.getHeader("Expect"))) {
       request.response().writeContinue();
     }
-    return new Reading(request, Math.max(0, announced)).begin();
+    return new BodyCollector(request, Math.max(0, declaredBytes)).begin();
   }
 
   /** Gives back the room of a body. */
   void release(long bytes) {
-    heldBytes.addAndGet(-bytes);
+    bufferedBytes.addAndGet(-bytes);
   }
 
-  private static long announcedBytes(HttpServerRequest request) {
+  private static long declaredLength(HttpServerRequest request) {
     String header = request.getHeader("Content-Length");
     if (header == null) {
       return -1;
@@ -84,38 +84,38 @@
 
   private AgatefieldException overloaded() {
     return new AgatefieldException(
-        ErrorKind.OVERLOADED, "the bodies held exceed " + maximumHeldBytes + " bytes");
+        ErrorKind.OVERLOADED, "the bodies held exceed " + maximumBufferedBytes + " bytes");
   }
 
   /** One body that is being read. Confined to the context of its request. */
-  private final class Reading {
+  private final class BodyCollector {
     private final HttpServerRequest request;
     private final Promise<Buffer> promise = Promise.promise();
     private final Buffer body;
-    private long counted;
-    private boolean over;
+    private long receivedBytes;
+    private boolean completed;
 
-    private Reading(HttpServerRequest request, long announced) {
+    private BodyCollector(HttpServerRequest request, long declaredBytes) {
       this.request = request;
-      this.body = Buffer.buffer((int) Math.min(announced, INITIAL_CAPACITY_BYTES));
+      this.body = Buffer.buffer((int) Math.min(declaredBytes, INITIAL_CAPACITY_BYTES));
     }
 
     private Future<Buffer> begin() {
-      request.handler(this::take);
+      request.handler(this::append);
       request.endHandler(ignored -> finish());
-      request.exceptionHandler(ignored -> fail(cutShort()));
+      request.exceptionHandler(ignored -> fail(truncated()));
       return promise.future();
     }
 
-    private void take(Buffer bytes) {
-      if (over) {
+    private void append(Buffer bytes) {
+      if (completed) {
         return;
       }
-      counted += bytes.length();
-      long held = heldBytes.addAndGet(bytes.length());
+      receivedBytes += bytes.length();
+      long buffered = bufferedBytes.addAndGet(bytes.length());
       if (body.length() + (long) bytes.length() > maximumBodyBytes) {
         fail(tooLarge());
-      } else if (held > maximumHeldBytes) {
+      } else if (buffered > maximumBufferedBytes) {
         fail(overloaded());
       } else {
         body.appendBuffer(bytes);
@@ -123,23 +123,23 @@
     }
 
     private void finish() {
-      if (!over) {
-        over = true;
+      if (!completed) {
+        completed = true;
         promise.complete(body);
       }
     }
 
     private void fail(AgatefieldException failure) {
-      if (!over) {
-        over = true;
-        release(counted);
+      if (!completed) {
+        completed = true;
+        release(receivedBytes);
         request.response().putHeader("Connection", "close");
         LingeringClose.begin(vertx, request);
         promise.fail(failure);
       }
     }
 
-    private AgatefieldException cutShort() {
+    private AgatefieldException truncated() {
       return new AgatefieldException(
           ErrorKind.INVALID_REQUEST, "the body ended before its announced length");
     }
--- a/daemon/src/main/java/org/agatefield/daemon/http/WholeAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/BufferedAnswer.java
@@ -6,24 +6,24 @@
 import org.agatefield.model.AgatefieldException;
 
 /** An answer that is written in one piece after it was checked whole. */
-final class WholeAnswer implements CallerAnswer {
+final class BufferedAnswer implements CallerAnswer {
   private final HttpServerResponse response;
-  private final AnswerNames names;
-  private EngineAnswerPart whole;
+  private final AnswerIdentity identity;
+  private EngineAnswerPart completeAnswer;
 
-  WholeAnswer(HttpServerResponse response, AnswerNames names) {
+  BufferedAnswer(HttpServerResponse response, AnswerIdentity identity) {
     this.response = response;
-    this.names = names;
+    this.identity = identity;
   }
 
   @Override
   public void part(EngineAnswerPart part) {
-    whole = part;
+    completeAnswer = part;
   }
 
   @Override
   public void attemptFailed() {
-    whole = null;
+    completeAnswer = null;
   }
 
   @Override
@@ -44,7 +44,7 @@
   @Override
   public Future<Void> succeed() {
     response.putHeader("content-type", "application/json");
-    return response.end(whole.renamed(names.id(), names.model()));
+    return response.end(completeAnswer.renamed(identity.id(), identity.model()));
   }
 
   @Override
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
@@ -26,8 +26,8 @@
 public final class CallerApi {
   private static final Logger LOGGER = LogManager.getLogger(CallerApi.class);
 
-  private final CallerApiParts parts;
-  private final CallerIdentities identities;
+  private final CallerApiDependencies dependencies;
+  private final CallerAuthenticator authenticator;
   private final BodyReader bodies;
   private final GenerationHandler generations;
   private final ServiceHandler services;
@@ -37,19 +37,19 @@
   private final AtomicLong nextRequest = new AtomicLong(1);
 
   /** Creates the interface; it serves once it is mounted. */
-  public CallerApi(CallerApiParts parts) {
-    this.parts = parts;
-    this.identities = new CallerIdentities(parts.configuration());
+  public CallerApi(CallerApiDependencies dependencies) {
+    this.dependencies = dependencies;
+    this.authenticator = new CallerAuthenticator(dependencies.configuration());
     this.bodies =
-        new BodyReader(parts.vertx(), parts.limits().bodyBytes(), parts.limits().queuedBytes());
-    this.generations = new GenerationHandler(parts);
-    this.services = new ServiceHandler(parts);
-    this.directory = new DirectoryHandler(parts);
-    this.requests = parts.metrics().meter("agatefield.callers.requests");
-    parts.metrics().gauge("agatefield.callers.held-bytes", () -> (Gauge<Long>) bodies::heldBytes);
-    parts
+        new BodyReader(dependencies.vertx(), dependencies.limits().bodyBytes(), dependencies.limits().queuedBytes());
+    this.generations = new GenerationHandler(dependencies);
+    this.services = new ServiceHandler(dependencies);
+    this.directory = new DirectoryHandler(dependencies);
+    this.requests = dependencies.metrics().meter("agatefield.callers.requests");
+    dependencies.metrics().gauge("agatefield.callers.held-bytes", () -> (Gauge<Long>) bodies::bufferedBytes);
+    dependencies
         .metrics()
-        .gauge("agatefield.callers.running", () -> (Gauge<Integer>) parts.shutdown()::running);
+        .gauge("agatefield.callers.running", () -> (Gauge<Integer>) dependencies.shutdown()::running);
   }
 
   /** Adds the routes of the interface. */
@@ -75,10 +75,10 @@
     /**
      * Serves the request.
      *
-     * @param afterwards called once when nothing of the request runs any more
-     * @throws AgatefieldException if the request is refused; {@code afterwards} is not called then
+     * @param onCompletion called once when nothing of the request runs any more
+     * @throws AgatefieldException if the request is refused; {@code onCompletion} is not called then
      */
-    void handle(RoutingContext context, RequestTerms terms, Buffer body, Runnable afterwards);
+    void handle(RoutingContext context, RequestAttributes terms, Buffer body, Runnable onCompletion);
   }
 
   private void serve(RoutingContext context, BodyHandler handler) {
@@ -86,56 +86,56 @@
     HttpServerRequest request = context.request();
     String requestId = requestIdPrefix + "-" + nextRequest.getAndIncrement();
     context.response().putHeader("X-Request-Id", requestId);
-    if (!parts.shutdown().tryBegin()) {
+    if (!dependencies.shutdown().tryBeginRequest()) {
       refuse(
           context,
           new AgatefieldException(ErrorKind.SHUTTING_DOWN, "this instance is shutting down"));
       return;
     }
-    Runnable ending = parts.shutdown().ending();
-    RequestTerms terms;
+    Runnable requestCompletion = dependencies.shutdown().requestCompletion();
+    RequestAttributes terms;
     try {
       terms =
-          RequestTerms.read(
-              request, requestId, identities.identify(request), parts.limits().defaultDeadline());
+          RequestAttributes.read(
+              request, requestId, authenticator.authenticate(request), dependencies.limits().defaultDeadline());
     } catch (AgatefieldException failure) {
-      refuse(context, failure).onComplete(ignored -> ending.run());
+      refuse(context, failure).onComplete(ignored -> requestCompletion.run());
       return;
     }
     bodies
         .read(request)
-        .onSuccess(body -> serve(context, handler, terms, body, ending))
+        .onSuccess(body -> serve(context, handler, terms, body, requestCompletion))
         .onFailure(
             failure ->
                 refuse(context, AgatefieldException.from(failure))
-                    .onComplete(ignored -> ending.run()));
+                    .onComplete(ignored -> requestCompletion.run()));
   }
 
   private void serve(
       RoutingContext context,
       BodyHandler handler,
-      RequestTerms terms,
+      RequestAttributes terms,
       Buffer body,
-      Runnable ending) {
+      Runnable requestCompletion) {
     int length = body.length();
-    Runnable afterwards =
+    Runnable onCompletion =
         () -> {
           bodies.release(length);
-          ending.run();
+          requestCompletion.run();
         };
     try {
-      handler.handle(context, terms, body, afterwards);
+      handler.handle(context, terms, body, onCompletion);
     } catch (AgatefieldException failure) {
-      refuse(context, failure).onComplete(ignored -> afterwards.run());
+      refuse(context, failure).onComplete(ignored -> onCompletion.run());
     } catch (RuntimeException exception) {
-      refuse(context, AgatefieldException.from(exception)).onComplete(ignored -> afterwards.run());
+      refuse(context, AgatefieldException.from(exception)).onComplete(ignored -> onCompletion.run());
     }
   }
 
   private Handler<RoutingContext> guarded(Handler<RoutingContext> handler) {
     return context -> {
       try {
-        identities.identify(context.request());
+        authenticator.authenticate(context.request());
         handler.handle(context);
       } catch (AgatefieldException failure) {
         refuse(context, failure);
@@ -144,7 +144,7 @@
   }
 
   private Future<Void> refuse(RoutingContext context, AgatefieldException failure) {
-    parts.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
+    dependencies.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
     if (failure.kind() == ErrorKind.INTERNAL) {
       LOGGER.error("unexpected fault path={}", context.request().path(), failure);
     }
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApiParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApiDependencies.java
@@ -24,11 +24,11 @@
  * @param entries answers which instances to use
  * @param instances knows this instance
  * @param shutdown knows whether this instance takes new requests
- * @param monitor told of broken promises
+ * @param monitor reported of broken promises
  * @param metrics counts requests and errors
  * @param limits bounds of the work
  */
-public record CallerApiParts(
+public record CallerApiDependencies(
     Vertx vertx,
     ConfigurationSource configuration,
     Dispatcher dispatcher,
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerIdentities.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerAuthenticator.java
@@ -19,14 +19,14 @@
  * <p>Invariant: tokens are compared by their SHA-256 only. Safe for use by any thread: the index is
  * replaced as a whole.
  */
-final class CallerIdentities {
+final class CallerAuthenticator {
   private static final Caller ANONYMOUS =
       new Caller(UpstreamIdempotencyKeys.ANONYMOUS_CALLER, "", 1, Priority.INTERACTIVE);
   private static final String SCHEME = "Bearer ";
 
   private volatile Map<String, Caller> callersByToken = Map.of();
 
-  CallerIdentities(ConfigurationSource configuration) {
+  CallerAuthenticator(ConfigurationSource configuration) {
     configuration.subscribe(this::index);
   }
 
@@ -35,7 +35,7 @@
    *
    * @throws AgatefieldException of kind UNAUTHENTICATED if the token is missing or unknown
    */
-  Caller identify(HttpServerRequest request) {
+  Caller authenticate(HttpServerRequest request) {
     Map<String, Caller> callers = callersByToken;
     if (callers.isEmpty()) {
       return ANONYMOUS;
--- a/daemon/src/main/java/org/agatefield/daemon/http/DirectoryHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/DirectoryHandler.java
@@ -22,16 +22,16 @@
   private static final int STATUS_OK = 200;
   private static final int STATUS_UNAVAILABLE = 503;
 
-  private final CallerApiParts parts;
+  private final CallerApiDependencies dependencies;
 
-  DirectoryHandler(CallerApiParts parts) {
-    this.parts = parts;
+  DirectoryHandler(CallerApiDependencies dependencies) {
+    this.dependencies = dependencies;
   }
 
   void models(RoutingContext context) {
     ObjectNode answer = MAPPER.createObjectNode().put("object", "list");
     ArrayNode data = answer.putArray("data");
-    ConfigurationDocument document = parts.configuration().current();
+    ConfigurationDocument document = dependencies.configuration().current();
     document.deployments().forEach(deployment -> data.add(describe(deployment.name())));
     document.adapters().forEach(adapter -> data.add(describe(adapter.name())));
     send(context, STATUS_OK, answer);
@@ -39,7 +39,7 @@
 
   void model(RoutingContext context) {
     String name = context.pathParam("name");
-    ConfigurationDocument document = parts.configuration().current();
+    ConfigurationDocument document = dependencies.configuration().current();
     if (document.deployment(name).isEmpty() && document.adapter(name).isEmpty()) {
       throw new AgatefieldException(
           ErrorKind.NOT_FOUND, "no model of the name '" + name + "' is configured");
@@ -50,9 +50,9 @@
   void entries(RoutingContext context) {
     Optional<String> model = Optional.ofNullable(context.request().getParam("model"));
     Optional<String> region = Optional.ofNullable(context.request().getParam("region"));
-    EntryAddresses entries = parts.entries().entriesFor(model, region);
-    if (entries.addresses().contains(parts.instances().self().callerAddress())) {
-      parts.shutdown().namedInEntryAnswer();
+    EntryAddresses entries = dependencies.entries().entriesFor(model, region);
+    if (entries.addresses().contains(dependencies.instances().self().callerAddress())) {
+      dependencies.shutdown().recordEntryAnswer();
     }
     ObjectNode answer = MAPPER.createObjectNode();
     ArrayNode addresses = answer.putArray("addresses");
@@ -66,9 +66,9 @@
   }
 
   void readiness(RoutingContext context) {
-    if (parts.shutdown().isLeaving()) {
+    if (dependencies.shutdown().isLeaving()) {
       notReady(context, "the instance is leaving");
-    } else if (parts.configuration().current().generation() == 0) {
+    } else if (dependencies.configuration().current().generation() == 0) {
       notReady(context, "no configuration is in force yet");
     } else {
       send(context, STATUS_OK, MAPPER.createObjectNode().put("status", "ready"));
--- a/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/Generation.java
@@ -29,12 +29,12 @@
   private static final Logger LOGGER = LogManager.getLogger(Generation.class);
   private static final int MAXIMUM_ATTEMPTS_WITHOUT_PROGRESS = 6;
 
-  private final CallerApiParts parts;
+  private final CallerApiDependencies dependencies;
   private final Context context;
   private final GenerationTask task;
   private final CallerAnswer answer;
-  private final Runnable afterwards;
-  private final RunHistory history = new RunHistory();
+  private final Runnable onCompletion;
+  private final AttemptHistory history = new AttemptHistory();
   private CompletableFuture<Dispatch> acquisition;
   private Dispatch dispatch;
   private EngineCall call;
@@ -42,33 +42,33 @@
   private long deadlineTimer = -1;
   private int attemptsWithoutProgress;
   private boolean adapterOrdered;
-  private boolean over;
+  private boolean completed;
 
   /**
    * Creates a request that has not begun.
    *
-   * @param afterwards called once when the request is over and its answer is written
+   * @param onCompletion called once when the request is completed and its answer is written
    */
   Generation(
-      CallerApiParts parts,
+      CallerApiDependencies dependencies,
       Context context,
       GenerationTask task,
       CallerAnswer answer,
-      Runnable afterwards) {
-    this.parts = parts;
+      Runnable onCompletion) {
+    this.dependencies = dependencies;
     this.context = context;
     this.task = task;
     this.answer = answer;
-    this.afterwards = afterwards;
+    this.onCompletion = onCompletion;
   }
 
   /** Asks for admission; called once, on the context. */
   void begin(HttpServerResponse response) {
-    response.closeHandler(ignored -> callerGone());
+    response.closeHandler(ignored -> callerDisconnected());
     long remaining = Math.max(1, task.terms().remaining().toMillis());
-    deadlineTimer = parts.vertx().setTimer(remaining, ignored -> deadlinePassed());
+    deadlineTimer = dependencies.vertx().setTimer(remaining, ignored -> deadlinePassed());
     ModelRequest request = task.toModelRequest();
-    acquire(parts.dispatcher().acquire(request));
+    acquire(dependencies.dispatcher().acquire(request));
   }
 
   private void acquire(CompletableFuture<Dispatch> future) {
@@ -86,7 +86,7 @@
   }
 
   private void acquisitionEnded(Dispatch acquired, Throwable failure) {
-    if (over) {
+    if (completed) {
       if (acquired != null) {
         acquired.finished(DispatchOutcome.CANCELLED);
       }
@@ -98,7 +98,7 @@
     }
     dispatch = acquired;
     if (!history.accepts(acquired.version(), answer.writtenTokens())) {
-      end(DispatchOutcome.CANCELLED, history.finalFailure(history.otherVersion()));
+      end(DispatchOutcome.CANCELLED, history.finalFailure(history.versionUnavailable()));
       return;
     }
     prepare();
@@ -110,7 +110,7 @@
       send();
       return;
     }
-    parts
+    dependencies
         .adapterLoader()
         .ensureLoaded(
             prepared.upstream(), prepared.version().orElseThrow(), prepared.adapter().get())
@@ -118,13 +118,13 @@
   }
 
   private void prepared(Dispatch prepared, Throwable failure) {
-    if (over || dispatch != prepared) {
+    if (completed || dispatch != prepared) {
       return;
     }
     if (failure == null) {
       send();
     } else {
-      tryAgain(DispatchOutcome.REJECTED, AgatefieldException.from(failure));
+      retry(DispatchOutcome.REJECTED, AgatefieldException.from(failure));
     }
   }
 
@@ -132,7 +132,7 @@
     history.sent(dispatch.version());
     EngineRequest request = task.toEngineRequest(dispatch, answer.writtenTokens());
     attempt = new Attempt();
-    call = parts.engines().generate(dispatch.upstream().address(), request, attempt);
+    call = dependencies.engines().generate(dispatch.upstream().address(), request, attempt);
   }
 
   private void attemptFailed(AgatefieldException failure) {
@@ -152,7 +152,7 @@
       return;
     }
     boolean unreachable = failure.kind() == ErrorKind.NO_UPSTREAM;
-    tryAgain(unreachable ? DispatchOutcome.UNREACHABLE : DispatchOutcome.FAILED, failure);
+    retry(unreachable ? DispatchOutcome.UNREACHABLE : DispatchOutcome.FAILED, failure);
   }
 
   private void refused(EngineRefusal refusal) {
@@ -160,45 +160,45 @@
       end(DispatchOutcome.CANCELLED, refusal);
     } else if (refusal.reason() == EngineRefusalReason.ADAPTER_NOT_LOADED && !adapterOrdered) {
       adapterOrdered = true;
-      orderAdapter();
+      loadAdapter();
     } else {
-      tryAgain(DispatchOutcome.REJECTED, refusal);
+      retry(DispatchOutcome.REJECTED, refusal);
     }
   }
 
   /** The loader may believe a report that is out of date; the engine's word counts. */
-  private void orderAdapter() {
+  private void loadAdapter() {
     Dispatch prepared = dispatch;
-    AdapterOrder.send(parts, prepared)
+    AdapterOrder.send(dependencies, prepared)
         .whenComplete((done, failure) -> onContext(() -> prepared(prepared, failure)));
   }
 
-  private void tryAgain(DispatchOutcome outcome, AgatefieldException failure) {
+  private void retry(DispatchOutcome outcome, AgatefieldException failure) {
     attemptsWithoutProgress++;
     boolean mayResume = answer.writtenTokens() == 0 || task.body().isResumable();
     if (attemptsWithoutProgress >= MAXIMUM_ATTEMPTS_WITHOUT_PROGRESS || !mayResume) {
       end(outcome, history.finalFailure(failure));
       return;
     }
-    parts.metrics().counter("agatefield.callers.retried-attempts").inc();
+    dependencies.metrics().counter("agatefield.callers.retried-attempts").inc();
     Dispatch failed = dispatch;
     dispatch = null;
     adapterOrdered = false;
-    acquire(parts.dispatcher().reacquire(failed, outcome));
+    acquire(dependencies.dispatcher().reacquire(failed, outcome));
   }
 
   private void deadlinePassed() {
-    if (over) {
+    if (completed) {
       return;
     }
     history.interrupted(call != null, answer.writtenTokens());
     end(DispatchOutcome.TIMED_OUT, history.deadlineFailure());
   }
 
-  private void callerGone() {
-    if (!over) {
+  private void callerDisconnected() {
+    if (!completed) {
       finish(DispatchOutcome.CANCELLED);
-      afterwards.run();
+      onCompletion.run();
     }
   }
 
@@ -208,18 +208,18 @@
 
   private void end(DispatchOutcome outcome, AgatefieldException failure) {
     finish(outcome);
-    parts.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
-    answer.fail(failure).onComplete(ignored -> afterwards.run());
+    dependencies.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
+    answer.fail(failure).onComplete(ignored -> onCompletion.run());
   }
 
   private void succeeded() {
     finish(DispatchOutcome.SUCCEEDED);
-    answer.succeed().onComplete(ignored -> afterwards.run());
+    answer.succeed().onComplete(ignored -> onCompletion.run());
   }
 
   private void finish(DispatchOutcome outcome) {
-    over = true;
-    parts.vertx().cancelTimer(deadlineTimer);
+    completed = true;
+    dependencies.vertx().cancelTimer(deadlineTimer);
     acquisition.cancel(true);
     if (call != null && outcome != DispatchOutcome.SUCCEEDED) {
       call.cancel();
@@ -240,7 +240,7 @@
 
     @Override
     public void part(EngineAnswerPart part) {
-      onContext(() -> take(part));
+      onContext(() -> handlePart(part));
     }
 
     @Override
@@ -263,7 +263,7 @@
           });
     }
 
-    private void take(EngineAnswerPart part) {
+    private void handlePart(EngineAnswerPart part) {
       if (!isCurrent()) {
         return;
       }
@@ -276,10 +276,10 @@
       if (answer.writtenTokens() > before) {
         attemptsWithoutProgress = 0;
       }
-      waitForReader();
+      applyBackpressure();
     }
 
-    private void waitForReader() {
+    private void applyBackpressure() {
       if (answer.isFull() && call != null) {
         EngineCall paused = call;
         paused.pause();
@@ -288,7 +288,7 @@
     }
 
     private boolean isCurrent() {
-      return !over && attempt == this && dispatch != null;
+      return !completed && attempt == this && dispatch != null;
     }
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationHandler.java
@@ -21,42 +21,42 @@
   private static final String CHAT_PATH = "/v1/chat/completions";
   private static final String COMPLETIONS_PATH = "/v1/completions";
 
-  private final CallerApiParts parts;
+  private final CallerApiDependencies dependencies;
 
-  GenerationHandler(CallerApiParts parts) {
-    this.parts = parts;
+  GenerationHandler(CallerApiDependencies dependencies) {
+    this.dependencies = dependencies;
   }
 
   CallerApi.BodyHandler chat() {
-    return (context, terms, body, afterwards) ->
-        handle(context, terms, body, afterwards, CHAT_PATH, "messages");
+    return (context, terms, body, onCompletion) ->
+        handle(context, terms, body, onCompletion, CHAT_PATH, "messages");
   }
 
   CallerApi.BodyHandler completions() {
-    return (context, terms, body, afterwards) ->
-        handle(context, terms, body, afterwards, COMPLETIONS_PATH, "prompt");
+    return (context, terms, body, onCompletion) ->
+        handle(context, terms, body, onCompletion, COMPLETIONS_PATH, "prompt");
   }
 
   private void handle(
       RoutingContext routing,
-      RequestTerms terms,
+      RequestAttributes terms,
       Buffer raw,
-      Runnable afterwards,
+      Runnable onCompletion,
       String path,
       String promptField) {
     HttpServerRequest request = routing.request();
     checkContentType(request.getHeader("Content-Type"));
     GenerationBody body = GenerationBodyReader.read(raw, promptField);
-    Priority priority = RequestTerms.lower(terms.priority(), deployment(body).priority());
+    Priority priority = RequestAttributes.lower(terms.priority(), deployment(body).priority());
     GenerationTask task = new GenerationTask(terms, priority, path, body);
     String prefix = path.equals(CHAT_PATH) ? "chatcmpl-" : "cmpl-";
-    AnswerNames names = AnswerNames.of(prefix + terms.requestId(), body.model());
+    AnswerIdentity identity = AnswerIdentity.of(prefix + terms.requestId(), body.model());
     CallerAnswer answer =
         body.stream()
-            ? new StreamedAnswer(request.response(), names)
-            : new WholeAnswer(request.response(), names);
-    Context context = parts.vertx().getOrCreateContext();
-    new Generation(parts, context, task, answer, afterwards).begin(request.response());
+            ? new StreamedAnswer(request.response(), identity)
+            : new BufferedAnswer(request.response(), identity);
+    Context context = dependencies.vertx().getOrCreateContext();
+    new Generation(dependencies, context, task, answer, onCompletion).begin(request.response());
   }
 
   private static void checkContentType(String contentType) {
@@ -72,7 +72,7 @@
   }
 
   private Deployment deployment(GenerationBody body) {
-    ConfigurationDocument document = parts.configuration().current();
+    ConfigurationDocument document = dependencies.configuration().current();
     Optional<String> base = document.adapter(body.model()).map(Adapter::deployment);
     return document
         .deployment(base.orElse(body.model()))
--- a/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/HttpOutcomeQuery.java
@@ -46,14 +46,14 @@
     String key =
         URLEncoder.encode(
             UpstreamIdempotencyKeys.of(call.caller(), call.key()), StandardCharsets.UTF_8);
-    ServiceMessage question =
-        new ServiceMessage(
+    UpstreamServiceRequest statusRequest =
+        new UpstreamServiceRequest(
             HttpMethod.GET,
             template.get().replace(KEY_PLACEHOLDER, key),
             Map.of(),
             Buffer.buffer(),
             TIMEOUT);
-    return askNext(runners(call.service().name()).iterator(), question);
+    return queryNext(runners(call.service().name()).iterator(), statusRequest);
   }
 
   private List<Upstream> runners(String service) {
@@ -62,19 +62,19 @@
         .toList();
   }
 
-  private CompletableFuture<Optional<ServiceResponse>> askNext(
-      Iterator<Upstream> runners, ServiceMessage question) {
+  private CompletableFuture<Optional<ServiceResponse>> queryNext(
+      Iterator<Upstream> runners, UpstreamServiceRequest statusRequest) {
     if (!runners.hasNext()) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
     return client
-        .send(runners.next().address(), question)
+        .send(runners.next().address(), statusRequest)
         .handle((exchange, failure) -> outcome(exchange, failure))
         .thenCompose(
             found ->
                 found.isPresent()
                     ? CompletableFuture.completedFuture(found)
-                    : askNext(runners, question));
+                    : queryNext(runners, statusRequest));
   }
 
   private static Optional<ServiceResponse> outcome(ServiceResponse exchange, Throwable failure) {
--- a/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RepeatableCall.java
@@ -19,34 +19,34 @@
   private static final int MAXIMUM_ATTEMPTS = 4;
   private static final int STATUS_UNAVAILABLE = 503;
 
-  private final CallerApiParts parts;
+  private final CallerApiDependencies dependencies;
   private final UpstreamServiceClient client;
   private final ServiceRequest request;
-  private final ServiceMessage message;
-  private final RunHistory history = new RunHistory();
+  private final UpstreamServiceRequest upstreamRequest;
+  private final AttemptHistory history = new AttemptHistory();
   private final CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
   private CompletableFuture<?> running;
   private int attempts;
 
   RepeatableCall(
-      CallerApiParts parts,
+      CallerApiDependencies dependencies,
       UpstreamServiceClient client,
       ServiceRequest request,
-      ServiceMessage message) {
-    this.parts = parts;
+      UpstreamServiceRequest upstreamRequest) {
+    this.dependencies = dependencies;
     this.client = client;
     this.request = request;
-    this.message = message;
+    this.upstreamRequest = upstreamRequest;
   }
 
   CompletableFuture<ServiceResponse> begin() {
     result.whenComplete((exchange, failure) -> cancelRunning());
-    acquire(parts.dispatcher().acquire(request));
+    acquire(dependencies.dispatcher().acquire(request));
     return result;
   }
 
   private void acquire(CompletableFuture<Dispatch> acquisition) {
-    runs(acquisition);
+    setRunning(acquisition);
     acquisition.whenComplete(
         (dispatch, failure) -> {
           if (failure != null) {
@@ -65,8 +65,8 @@
       history.sent(dispatch.version());
     }
     CompletableFuture<ServiceResponse> exchange =
-        client.send(dispatch.upstream().address(), message);
-    runs(exchange);
+        client.send(dispatch.upstream().address(), upstreamRequest);
+    setRunning(exchange);
     exchange.whenComplete(
         (answer, failure) -> {
           if (failure != null) {
@@ -78,8 +78,8 @@
   }
 
   private void answered(Dispatch dispatch, ServiceResponse answer) {
-    if (answer.status() == STATUS_UNAVAILABLE && mayTryAgain()) {
-      parts
+    if (answer.status() == STATUS_UNAVAILABLE && mayRetry()) {
+      dependencies
           .dispatcher()
           .reacquire(dispatch, DispatchOutcome.REJECTED)
           .whenComplete(
@@ -108,27 +108,27 @@
     }
     boolean unreachable = failure.kind() == ErrorKind.NO_UPSTREAM;
     DispatchOutcome outcome = unreachable ? DispatchOutcome.UNREACHABLE : DispatchOutcome.FAILED;
-    if (mayTryAgain()) {
-      acquire(parts.dispatcher().reacquire(dispatch, outcome));
+    if (mayRetry()) {
+      acquire(dependencies.dispatcher().reacquire(dispatch, outcome));
     } else {
       dispatch.finished(outcome);
       fail(failure);
     }
   }
 
-  private synchronized boolean mayTryAgain() {
+  private synchronized boolean mayRetry() {
     return attempts < MAXIMUM_ATTEMPTS;
   }
 
   private void fail(AgatefieldException failure) {
-    AgatefieldException told;
+    AgatefieldException reported;
     synchronized (this) {
-      told = history.finalFailure(failure);
+      reported = history.finalFailure(failure);
     }
-    result.completeExceptionally(told);
+    result.completeExceptionally(reported);
   }
 
-  private synchronized void runs(CompletableFuture<?> future) {
+  private synchronized void setRunning(CompletableFuture<?> future) {
     running = future;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/http/RequestTerms.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RequestAttributes.java
@@ -16,7 +16,7 @@
  * @param priority the priority asked for, limited by what the caller may have
  * @param deadlineNanoseconds when the caller stops waiting, by the monotonic clock
  */
-record RequestTerms(String requestId, Caller caller, Priority priority, long deadlineNanoseconds) {
+record RequestAttributes(String requestId, Caller caller, Priority priority, long deadlineNanoseconds) {
   private static final String DEADLINE_HEADER = "X-Request-Deadline-Ms";
   private static final String PRIORITY_HEADER = "X-Request-Priority";
   private static final long MAXIMUM_DEADLINE_MILLISECONDS = 24L * 60 * 60 * 1000;
@@ -26,12 +26,12 @@
    *
    * @throws AgatefieldException of kind INVALID_REQUEST if a header is malformed
    */
-  static RequestTerms read(
+  static RequestAttributes read(
       HttpServerRequest request, String requestId, Caller caller, Duration defaultDeadline) {
     long remaining = deadline(request.getHeader(DEADLINE_HEADER), defaultDeadline.toMillis());
     Priority priority = priority(request.getHeader(PRIORITY_HEADER));
     long deadline = System.nanoTime() + Duration.ofMillis(remaining).toNanos();
-    return new RequestTerms(requestId, caller, lower(priority, caller.priority()), deadline);
+    return new RequestAttributes(requestId, caller, lower(priority, caller.priority()), deadline);
   }
 
   /** Returns the lower of two priorities. */
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceAnswer.java
@@ -16,33 +16,33 @@
  * caller has gone, is not disturbed if it must not repeat. Confined to the context of the request.
  */
 final class ServiceAnswer {
-  private final CallerApiParts parts;
+  private final CallerApiDependencies dependencies;
   private final Context context;
   private final HttpServerResponse response;
-  private final RequestTerms terms;
+  private final RequestAttributes terms;
   private final CompletableFuture<ServiceResponse> answer;
-  private final Runnable afterwards;
+  private final Runnable onCompletion;
   private long deadlineTimer;
-  private boolean over;
+  private boolean completed;
 
   ServiceAnswer(
-      CallerApiParts parts,
+      CallerApiDependencies dependencies,
       RoutingContext routing,
-      RequestTerms terms,
+      RequestAttributes terms,
       CompletableFuture<ServiceResponse> answer,
-      Runnable afterwards) {
-    this.parts = parts;
-    this.context = parts.vertx().getOrCreateContext();
+      Runnable onCompletion) {
+    this.dependencies = dependencies;
+    this.context = dependencies.vertx().getOrCreateContext();
     this.response = routing.response();
     this.terms = terms;
     this.answer = answer;
-    this.afterwards = afterwards;
+    this.onCompletion = onCompletion;
   }
 
   void begin() {
-    response.closeHandler(ignored -> callerGone());
+    response.closeHandler(ignored -> callerDisconnected());
     long remaining = Math.max(1, terms.remaining().toMillis());
-    deadlineTimer = parts.vertx().setTimer(remaining, ignored -> deadlinePassed());
+    deadlineTimer = dependencies.vertx().setTimer(remaining, ignored -> deadlinePassed());
     answer.whenComplete((exchange, failure) -> onContext(() -> answered(exchange, failure)));
   }
 
@@ -55,19 +55,19 @@
   }
 
   private void answered(ServiceResponse exchange, Throwable failure) {
-    if (over) {
+    if (completed) {
       return;
     }
     finish();
     if (failure == null) {
-      ServiceHandler.write(response, exchange).onComplete(ignored -> afterwards.run());
+      ServiceHandler.write(response, exchange).onComplete(ignored -> onCompletion.run());
     } else {
       fail(AgatefieldException.from(failure));
     }
   }
 
   private void deadlinePassed() {
-    if (over) {
+    if (completed) {
       return;
     }
     finish();
@@ -77,21 +77,21 @@
             ErrorKind.DEADLINE_EXCEEDED, "the deadline passed while the call was running"));
   }
 
-  private void callerGone() {
-    if (!over) {
+  private void callerDisconnected() {
+    if (!completed) {
       finish();
       answer.cancel(true);
-      afterwards.run();
+      onCompletion.run();
     }
   }
 
   private void fail(AgatefieldException failure) {
-    parts.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
-    ErrorAnswer.send(response, failure).onComplete(ignored -> afterwards.run());
+    dependencies.metrics().counter("agatefield.callers.errors." + failure.kind().code()).inc();
+    ErrorAnswer.send(response, failure).onComplete(ignored -> onCompletion.run());
   }
 
   private void finish() {
-    over = true;
-    parts.vertx().cancelTimer(deadlineTimer);
+    completed = true;
+    dependencies.vertx().cancelTimer(deadlineTimer);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceHandler.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ServiceHandler.java
@@ -29,20 +29,20 @@
 final class ServiceHandler {
   private static final String KEY_HEADER = "Idempotency-Key";
   private static final int MAXIMUM_KEY_LENGTH = 255;
-  private static final String[] PASSED_ON_HEADERS = {
+  private static final String[] FORWARDED_HEADERS = {
     "Content-Type", "Accept", "Accept-Language", "If-Match", "If-None-Match", "User-Agent"
   };
 
-  private final CallerApiParts parts;
+  private final CallerApiDependencies dependencies;
   private final UpstreamServiceClient client;
 
-  ServiceHandler(CallerApiParts parts) {
-    this.parts = parts;
-    this.client = new UpstreamServiceClient(parts.vertx());
+  ServiceHandler(CallerApiDependencies dependencies) {
+    this.dependencies = dependencies;
+    this.client = new UpstreamServiceClient(dependencies.vertx());
   }
 
   /** Serves a call whose body was read. */
-  void handle(RoutingContext context, RequestTerms terms, Buffer body, Runnable afterwards) {
+  void handle(RoutingContext context, RequestAttributes terms, Buffer body, Runnable onCompletion) {
     HttpServerRequest request = context.request();
     PlainService service = service(context.pathParam("name"));
     String target = request.uri().substring("/services/".length() + service.name().length());
@@ -53,11 +53,11 @@
     } else {
       answer = nonRepeatable(request, service, path, terms, body);
     }
-    new ServiceAnswer(parts, context, terms, answer, afterwards).begin();
+    new ServiceAnswer(dependencies, context, terms, answer, onCompletion).begin();
   }
 
   private PlainService service(String name) {
-    return parts
+    return dependencies
         .configuration()
         .current()
         .service(name)
@@ -76,11 +76,11 @@
       HttpServerRequest request,
       PlainService service,
       String path,
-      RequestTerms terms,
+      RequestAttributes terms,
       Buffer body) {
-    ServiceMessage message = message(request, service, path, terms, body);
+    UpstreamServiceRequest upstreamRequest = upstreamRequest(request, service, path, terms, body);
     ServiceRequest serviceRequest = serviceRequest(service, terms, body);
-    return new RepeatableCall(parts, client, serviceRequest, message).begin();
+    return new RepeatableCall(dependencies, client, serviceRequest, upstreamRequest).begin();
   }
 
   /** The result is a copy: giving it up does not disturb the call. */
@@ -88,10 +88,10 @@
       HttpServerRequest request,
       PlainService service,
       String path,
-      RequestTerms terms,
+      RequestAttributes terms,
       Buffer body) {
     String key = key(request);
-    ServiceMessage message = message(request, service, path, terms, body);
+    UpstreamServiceRequest upstreamRequest = upstreamRequest(request, service, path, terms, body);
     NonRepeatableCall call =
         new NonRepeatableCall(
             terms.requestId(),
@@ -102,13 +102,13 @@
             key,
             digest(request.method().name(), path, body),
             terms.remaining());
-    return parts
+    return dependencies
         .nonRepeatableCalls()
         .execute(
             call,
             serviceRequest(service, terms, body),
-            parts.dispatcher(),
-            runner -> client.sendOnce(runner, message))
+            dependencies.dispatcher(),
+            runner -> client.sendOnce(runner, upstreamRequest))
         .copy();
   }
 
@@ -140,7 +140,7 @@
   }
 
   private static ServiceRequest serviceRequest(
-      PlainService service, RequestTerms terms, Buffer body) {
+      PlainService service, RequestAttributes terms, Buffer body) {
     return new ServiceRequest(
         terms.requestId(),
         terms.caller().name(),
@@ -150,14 +150,14 @@
         body.length());
   }
 
-  private static ServiceMessage message(
+  private static UpstreamServiceRequest upstreamRequest(
       HttpServerRequest request,
       PlainService service,
       String path,
-      RequestTerms terms,
+      RequestAttributes terms,
       Buffer body) {
     Map<String, String> headers = new HashMap<>();
-    for (String name : PASSED_ON_HEADERS) {
+    for (String name : FORWARDED_HEADERS) {
       String value = request.getHeader(name);
       if (value != null) {
         headers.put(name, value);
@@ -169,7 +169,7 @@
       headers.put(KEY_HEADER, UpstreamIdempotencyKeys.of(terms.caller().name(), key));
     }
     Duration timeout = Duration.ofMillis(service.timeoutMilliseconds());
-    return new ServiceMessage(request.method(), path, headers, body, timeout);
+    return new UpstreamServiceRequest(request.method(), path, headers, body, timeout);
   }
 
   /** Writes a whole answer; completes when it is written to the connection. */
--- a/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
@@ -25,14 +25,14 @@
 
   private final Vertx vertx;
   private final Duration entryTimeToLive;
-  private final Duration spreadAllowance;
+  private final Duration propagationAllowance;
   private final Duration drainTimeout;
   private final IntSupplier runningCalls;
   private final InvariantMonitor monitor;
   private final LongSupplier clock;
-  private final CompletableFuture<Boolean> over = new CompletableFuture<>();
+  private final CompletableFuture<Boolean> shutdownResult = new CompletableFuture<>();
   private int runningRequests;
-  private long lastNamedNanoseconds;
+  private long lastEntryAnswerNanoseconds;
   private long leavingSinceNanoseconds;
   private long drainingSinceNanoseconds;
   private Step step = Step.SERVING;
@@ -48,7 +48,7 @@
    * Creates the coordinator of a serving instance.
    *
    * @param entryTimeToLive how long callers may keep an answer that names this instance
-   * @param spreadAllowance how long other instances may go on naming this one after it has said
+   * @param propagationAllowance how long other instances may go on naming this one after it has said
    *     that it leaves
    * @param drainTimeout how long running requests are waited for
    * @param runningCalls the calls that must not repeat whose outcome is not yet written
@@ -56,14 +56,14 @@
   public ShutdownCoordinator(
       Vertx vertx,
       Duration entryTimeToLive,
-      Duration spreadAllowance,
+      Duration propagationAllowance,
       Duration drainTimeout,
       IntSupplier runningCalls,
       InvariantMonitor monitor) {
     this(
         vertx,
         entryTimeToLive,
-        spreadAllowance,
+        propagationAllowance,
         drainTimeout,
         runningCalls,
         monitor,
@@ -73,14 +73,14 @@
   ShutdownCoordinator(
       Vertx vertx,
       Duration entryTimeToLive,
-      Duration spreadAllowance,
+      Duration propagationAllowance,
       Duration drainTimeout,
       IntSupplier runningCalls,
       InvariantMonitor monitor,
       LongSupplier clock) {
     this.vertx = vertx;
     this.entryTimeToLive = entryTimeToLive;
-    this.spreadAllowance = spreadAllowance;
+    this.propagationAllowance = propagationAllowance;
     this.drainTimeout = drainTimeout;
     this.runningCalls = runningCalls;
     this.monitor = monitor;
@@ -90,21 +90,21 @@
   /**
    * Begins to leave; later calls return the same future.
    *
-   * @param sayLeaving tells the other instances; called once
+   * @param announceLeaving tells the other instances; called once
    * @return completes when nothing runs any more, with whether no request was cut
    */
-  public CompletableFuture<Boolean> beginLeaving(Runnable sayLeaving) {
+  public CompletableFuture<Boolean> beginShutdown(Runnable announceLeaving) {
     synchronized (this) {
       if (step != Step.SERVING) {
-        return over;
+        return shutdownResult;
       }
       step = Step.LEAVING;
       leavingSinceNanoseconds = clock.getAsLong();
     }
     LOGGER.info("leaving entry_time_to_live={} running={}", entryTimeToLive, running());
-    sayLeaving.run();
+    announceLeaving.run();
     vertx.setPeriodic(CHECK_INTERVAL_MILLISECONDS, this::check);
-    return over;
+    return shutdownResult;
   }
 
   /** Returns whether this instance leaves or has left. */
@@ -113,8 +113,8 @@
   }
 
   /** Records that an entry answer that names this instance is given out. */
-  public synchronized void namedInEntryAnswer() {
-    lastNamedNanoseconds = clock.getAsLong();
+  public synchronized void recordEntryAnswer() {
+    lastEntryAnswerNanoseconds = clock.getAsLong();
   }
 
   /** Returns the number of callers' requests that run. */
@@ -123,7 +123,7 @@
   }
 
   /** Counts a request in, unless new ones are refused. */
-  synchronized boolean tryBegin() {
+  synchronized boolean tryBeginRequest() {
     if (step == Step.DRAINING || step == Step.OVER) {
       return false;
     }
@@ -132,7 +132,7 @@
   }
 
   /** Returns what counts a request out that was counted in; running it again does nothing. */
-  Runnable ending() {
+  Runnable requestCompletion() {
     AtomicBoolean ended = new AtomicBoolean();
     return () -> {
       if (ended.compareAndSet(false, true)) {
@@ -161,11 +161,11 @@
         whole,
         () -> "cut after " + drainTimeout + ": requests=" + requests + " calls=" + calls);
     LOGGER.info("left whole={} requests={} calls={}", whole, requests, calls);
-    over.complete(whole);
+    shutdownResult.complete(whole);
   }
 
   private Step advance(long now) {
-    if (step == Step.LEAVING && now - lastPossibleNaming() >= entryTimeToLive.toNanos()) {
+    if (step == Step.LEAVING && now - lastPossibleEntryAnswer() >= entryTimeToLive.toNanos()) {
       step = Step.DRAINING;
       drainingSinceNanoseconds = now;
     }
@@ -177,10 +177,10 @@
   }
 
   /** Other instances may name this one until they have heard that it leaves. */
-  private long lastPossibleNaming() {
-    long byOthers = leavingSinceNanoseconds + spreadAllowance.toNanos();
-    boolean namedLater = lastNamedNanoseconds != 0 && lastNamedNanoseconds - byOthers > 0;
-    return namedLater ? lastNamedNanoseconds : byOthers;
+  private long lastPossibleEntryAnswer() {
+    long lastByOthers = leavingSinceNanoseconds + propagationAllowance.toNanos();
+    boolean ownIsLater = lastEntryAnswerNanoseconds != 0 && lastEntryAnswerNanoseconds - lastByOthers > 0;
+    return ownIsLater ? lastEntryAnswerNanoseconds : lastByOthers;
   }
 
   private boolean isIdle() {
--- a/daemon/src/main/java/org/agatefield/daemon/http/StreamedAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/StreamedAnswer.java
@@ -21,20 +21,20 @@
   private static final Buffer ERROR_EVENT = Buffer.buffer("event: error\ndata: ");
 
   private final HttpServerResponse response;
-  private final AnswerNames names;
-  private final List<EngineAnswerPart> heldBack = new ArrayList<>();
+  private final AnswerIdentity identity;
+  private final List<EngineAnswerPart> withheldParts = new ArrayList<>();
   private boolean resumed;
   private int tokens;
 
-  StreamedAnswer(HttpServerResponse response, AnswerNames names) {
+  StreamedAnswer(HttpServerResponse response, AnswerIdentity identity) {
     this.response = response;
-    this.names = names;
+    this.identity = identity;
   }
 
   @Override
   public void part(EngineAnswerPart part) {
-    if (part.finished() || !heldBack.isEmpty()) {
-      heldBack.add(part);
+    if (part.finished() || !withheldParts.isEmpty()) {
+      withheldParts.add(part);
       return;
     }
     if (resumed && part.tokens() <= tokens) {
@@ -46,7 +46,7 @@
 
   @Override
   public void attemptFailed() {
-    heldBack.clear();
+    withheldParts.clear();
     resumed = response.headWritten();
   }
 
@@ -67,7 +67,7 @@
 
   @Override
   public Future<Void> succeed() {
-    heldBack.forEach(this::write);
+    withheldParts.forEach(this::write);
     begin();
     return response.end(END_MARKER);
   }
@@ -84,7 +84,7 @@
 
   private void write(EngineAnswerPart part) {
     begin();
-    Buffer data = part.renamed(names.id(), names.model());
+    Buffer data = part.renamed(identity.id(), identity.model());
     Buffer event = Buffer.buffer(DATA_FIELD.length() + data.length() + EVENT_END.length());
     response.write(event.appendBuffer(DATA_FIELD).appendBuffer(data).appendBuffer(EVENT_END));
   }
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
@@ -62,41 +62,41 @@
   }
 
   /** Sends a call that may be sent again. */
-  CompletableFuture<ServiceResponse> send(Address runner, ServiceMessage message) {
-    return connect(pooled, runner, message);
+  CompletableFuture<ServiceResponse> send(Address runner, UpstreamServiceRequest upstreamRequest) {
+    return connect(pooled, runner, upstreamRequest);
   }
 
   /** Sends a call that must not be sent again. */
-  CompletableFuture<ServiceResponse> sendOnce(Address runner, ServiceMessage message) {
-    return connect(unpooled, runner, message);
+  CompletableFuture<ServiceResponse> sendOnce(Address runner, UpstreamServiceRequest upstreamRequest) {
+    return connect(unpooled, runner, upstreamRequest);
   }
 
   private static CompletableFuture<ServiceResponse> connect(
-      HttpClient client, Address runner, ServiceMessage message) {
+      HttpClient client, Address runner, UpstreamServiceRequest upstreamRequest) {
     CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
     RequestOptions target =
         new RequestOptions()
-            .setMethod(message.method())
+            .setMethod(upstreamRequest.method())
             .setHost(runner.host())
             .setPort(runner.port())
-            .setURI(message.path());
+            .setURI(upstreamRequest.path());
     client
         .request(target)
         .onFailure(failure -> result.completeExceptionally(notConnected(runner, failure)))
-        .onSuccess(request -> exchange(request, message, runner, result));
+        .onSuccess(request -> exchange(request, upstreamRequest, runner, result));
     return result;
   }
 
   private static void exchange(
       HttpClientRequest request,
-      ServiceMessage message,
+      UpstreamServiceRequest upstreamRequest,
       Address runner,
       CompletableFuture<ServiceResponse> result) {
-    message.headers().forEach(request::putHeader);
-    request.idleTimeout(message.timeout().toMillis());
+    upstreamRequest.headers().forEach(request::putHeader);
+    request.idleTimeout(upstreamRequest.timeout().toMillis());
     result.whenComplete((done, failure) -> resetIfUnfinished(request, result));
     request
-        .send(message.body())
+        .send(upstreamRequest.body())
         .compose(response -> new AnswerCollector(response).collect())
         .onSuccess(result::complete)
         .onFailure(failure -> result.completeExceptionally(failed(runner, failure)));
@@ -136,12 +136,12 @@
 
     private Future<ServiceResponse> collect() {
       response.exceptionHandler(promise::tryFail);
-      response.handler(this::take);
+      response.handler(this::append);
       response.endHandler(ignored -> promise.tryComplete(exchange()));
       return promise.future();
     }
 
-    private void take(Buffer bytes) {
+    private void append(Buffer bytes) {
       if (body.length() + bytes.length() > MAXIMUM_ANSWER_BYTES) {
         promise.tryFail(
             new AgatefieldException(
--- a/daemon/src/main/java/org/agatefield/daemon/http/ServiceMessage.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceRequest.java
@@ -14,10 +14,10 @@
  * @param body the whole body
  * @param timeout how long the runner may send nothing
  */
-record ServiceMessage(
+record UpstreamServiceRequest(
     HttpMethod method, String path, Map<String, String> headers, Buffer body, Duration timeout) {
   /** Copies the map. */
-  ServiceMessage {
+  UpstreamServiceRequest {
     headers = Map.copyOf(headers);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApi.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApi.java
@@ -12,7 +12,7 @@
 public final class OperatorApi {
   private static final long MAXIMUM_BODY_BYTES = 2_000_000;
 
-  private final OperatorParts parts;
+  private final OperatorApiDependencies dependencies;
   private final String operatorTokenSha256;
 
   /**
@@ -20,17 +20,17 @@
    *
    * @param operatorTokenSha256 the SHA-256 of the bearer token, 64 hexadecimal digits
    */
-  public OperatorApi(OperatorParts parts, String operatorTokenSha256) {
-    this.parts = parts;
+  public OperatorApi(OperatorApiDependencies dependencies, String operatorTokenSha256) {
+    this.dependencies = dependencies;
     this.operatorTokenSha256 = operatorTokenSha256;
   }
 
   /** Adds the routes to {@code router}. */
   public void mount(Router router) {
-    router.route("/operator/*").handler(new OperatorToken(operatorTokenSha256));
+    router.route("/operator/*").handler(new OperatorAuthentication(operatorTokenSha256));
     router.route("/operator/*").handler(BodyHandler.create(false).setBodyLimit(MAXIMUM_BODY_BYTES));
-    new ConfigurationRoutes(parts.configuration()).mount(router);
-    new StatusRoutes(parts).mount(router);
+    new ConfigurationRoutes(dependencies.configuration()).mount(router);
+    new StatusRoutes(dependencies).mount(router);
     new ConsoleRoutes().mount(router);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorParts.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorApiDependencies.java
@@ -18,7 +18,7 @@
  * @param monitor counts violations
  * @param drain begins to shut this instance down gracefully; completes when it has begun
  */
-public record OperatorParts(
+public record OperatorApiDependencies(
     ConfigurationManager configuration,
     InstanceDirectory instances,
     LedgerDirectory ledgers,
--- a/daemon/src/main/java/org/agatefield/daemon/operate/OperatorToken.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/OperatorAuthentication.java
@@ -11,12 +11,12 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /** Lets requests pass that carry the operators' bearer token. Immutable; safe for any thread. */
-final class OperatorToken implements Handler<RoutingContext> {
+final class OperatorAuthentication implements Handler<RoutingContext> {
   private static final String SCHEME = "bearer ";
 
   private final byte[] expectedSha256;
 
-  OperatorToken(String tokenSha256) {
+  OperatorAuthentication(String tokenSha256) {
     this.expectedSha256 = tokenSha256.toLowerCase(Locale.ROOT).getBytes(StandardCharsets.US_ASCII);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/operate/StatusRoutes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/operate/StatusRoutes.java
@@ -19,10 +19,10 @@
 
 /** The operators' requests about what runs and why. Immutable; safe for use by any thread. */
 final class StatusRoutes {
-  private final OperatorParts parts;
+  private final OperatorApiDependencies dependencies;
 
-  StatusRoutes(OperatorParts parts) {
-    this.parts = parts;
+  StatusRoutes(OperatorApiDependencies dependencies) {
+    this.dependencies = dependencies;
   }
 
   void mount(Router router) {
@@ -33,10 +33,10 @@
 
   private void status(RoutingContext context) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
-    body.put("instance", parts.instances().self().id());
-    body.put("generation", parts.configuration().current().generation());
-    body.put("planner", parts.plannerLease().currentGrant().isPresent());
-    body.put("violations", parts.monitor().violations());
+    body.put("instance", dependencies.instances().self().id());
+    body.put("generation", dependencies.configuration().current().generation());
+    body.put("planner", dependencies.plannerLease().currentGrant().isPresent());
+    body.put("violations", dependencies.monitor().violations());
     addInstances(body.putArray("instances"));
     addUpstreams(body.putArray("upstreams"));
     addReplicas(body.putArray("replicas"));
@@ -45,7 +45,7 @@
   }
 
   private void addInstances(ArrayNode nodes) {
-    parts
+    dependencies
         .instances()
         .alive()
         .forEach(
@@ -59,8 +59,8 @@
   }
 
   private void addUpstreams(ArrayNode nodes) {
-    Set<String> leaving = parts.instances().leavingUpstreams();
-    for (Upstream upstream : parts.configuration().current().upstreams()) {
+    Set<String> leaving = dependencies.instances().leavingUpstreams();
+    for (Upstream upstream : dependencies.configuration().current().upstreams()) {
       nodes
           .addObject()
           .put("name", upstream.name())
@@ -72,7 +72,7 @@
   }
 
   private void addReplicas(ArrayNode nodes) {
-    for (Replica replica : parts.ledgers().replicas()) {
+    for (Replica replica : dependencies.ledgers().replicas()) {
       ObjectNode node = nodes.addObject();
       node.put("version", replica.version().engineName());
       node.put("upstream", replica.upstream());
@@ -82,7 +82,7 @@
   }
 
   private void addLedgers(ArrayNode nodes) {
-    for (RunnerLedger ledger : parts.ledgers().ledgers().values()) {
+    for (RunnerLedger ledger : dependencies.ledgers().ledgers().values()) {
       addLedger(nodes.addObject(), ledger);
     }
   }
@@ -117,7 +117,7 @@
   }
 
   private ObjectNode explain(VersionId version) {
-    ConfigurationDocument document = parts.configuration().current();
+    ConfigurationDocument document = dependencies.configuration().current();
     long size = ReplicaSize.of(document, version).totalMegabytes();
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.put("version", version.engineName());
@@ -126,7 +126,7 @@
         "minimumReplicas",
         document.deployment(version.deployment()).map(each -> each.minimumReplicas()).orElse(0));
     ArrayNode runners = body.putArray("runners");
-    for (RunnerLedger ledger : parts.ledgers().ledgers().values()) {
+    for (RunnerLedger ledger : dependencies.ledgers().ledgers().values()) {
       ObjectNode node = runners.addObject();
       node.put("upstream", ledger.upstream());
       node.put("freeMegabytes", ledger.freeMegabytes());
@@ -137,7 +137,7 @@
   }
 
   private void drain(RoutingContext context) {
-    parts
+    dependencies
         .drain()
         .get()
         .whenComplete(
--- a/daemon/src/main/java/org/agatefield/daemon/peers/ConfigurationSpread.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/ConfigurationSynchronizer.java
@@ -23,11 +23,11 @@
  * gateways; the others wait a moment for one of their own region. Invariant: at most one request is
  * open. Confined to the event loop, except {@link #answer}.
  */
-final class ConfigurationSpread {
+final class ConfigurationSynchronizer {
   static final int GATEWAYS = 2;
   private static final long REMOTE_DELAY_MILLISECONDS = 250;
   private static final long REQUEST_MILLISECONDS = 1_000;
-  private static final Logger LOGGER = LogManager.getLogger(ConfigurationSpread.class);
+  private static final Logger LOGGER = LogManager.getLogger(ConfigurationSynchronizer.class);
 
   private final Instance self;
   private final EventLoop loop;
@@ -38,10 +38,10 @@
   private final Supplier<List<Instance>> instances;
   private final CompressedDocument compressed = new CompressedDocument();
   private long remoteGeneration;
-  private boolean requestOpen;
+  private boolean requestPending;
   private long requests;
 
-  ConfigurationSpread(
+  ConfigurationSynchronizer(
       Instance self,
       EventLoop loop,
       PeerTransport transport,
@@ -84,8 +84,8 @@
   }
 
   /** Fetches the document of a generation that a peer has, if it is still newer than ours. */
-  void heard(Instance holder, long generation) {
-    if (generation <= source.current().generation() || requestOpen) {
+  void generationObserved(Instance holder, long generation) {
+    if (generation <= source.current().generation() || requestPending) {
       return;
     }
     if (isLocal(holder) || isGateway()) {
@@ -101,7 +101,7 @@
 
   private void fetchIfNewer(Instance holder, long generation) {
     remoteGeneration = 0;
-    if (generation > source.current().generation() && !requestOpen) {
+    if (generation > source.current().generation() && !requestPending) {
       fetch(holder);
     }
   }
@@ -117,7 +117,7 @@
   }
 
   private void fetch(Instance holder) {
-    requestOpen = true;
+    requestPending = true;
     requests++;
     long generation = source.current().generation();
     transport
@@ -127,7 +127,7 @@
   }
 
   private void fetched(Instance holder, PeerMessage answer, Throwable failure) {
-    requestOpen = false;
+    requestPending = false;
     if (failure != null) {
       LOGGER.debug("no configuration from peer={}", holder.id(), failure);
       return;
