--- a/daemon/src/main/java/org/agatefield/daemon/peers/DemandTree.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/DemandAggregation.java
@@ -30,11 +30,11 @@
  * an instance gets reports from its own failure domain alone, and between regions go sums only.
  * Confined to the event loop, except {@link #total}.
  */
-final class DemandTree {
+final class DemandAggregation {
   static final long INTERVAL_MILLISECONDS = 5_000;
   private static final long RETENTION_MILLISECONDS = 3 * INTERVAL_MILLISECONDS;
   private static final long REGION_RETENTION_MILLISECONDS = 300_000;
-  private static final long INTEREST_MILLISECONDS = 60_000;
+  private static final long REFRESH_AFTER_READ_MILLISECONDS = 60_000;
   private static final int AGGREGATORS = 2;
 
   private final Instance self;
@@ -44,16 +44,16 @@
   private final Supplier<List<Instance>> instances;
   private final UniformRandomProvider random;
   private final LongSupplier clock;
-  private final DomainDemand domain = new DomainDemand(RETENTION_MILLISECONDS);
+  private final FailureDomainDemand domain = new FailureDomainDemand(RETENTION_MILLISECONDS);
   private final Map<String, RegionSum> regions = new HashMap<>();
   private CompletableFuture<PeerMessage> regionReport;
   private long regionReportTime;
   private volatile List<DemandSample> total = List.of();
-  private volatile long lastInterest = Long.MIN_VALUE / 2;
+  private volatile long lastReadTime = Long.MIN_VALUE / 2;
 
   private record RegionSum(DemandReport report, long time) {}
 
-  DemandTree(
+  DemandAggregation(
       Instance self,
       EventLoop loop,
       PeerTransport transport,
@@ -72,15 +72,15 @@
 
   void start() {
     schedule(this::report);
-    schedule(this::refreshIfWanted);
+    schedule(this::refreshIfRecentlyRead);
   }
 
-  private void schedule(Runnable work) {
+  private void schedule(Runnable task) {
     long delay = INTERVAL_MILLISECONDS / 2 + random.nextLong(INTERVAL_MILLISECONDS);
     loop.schedule(
         () -> {
-          schedule(work);
-          work.run();
+          schedule(task);
+          task.run();
         },
         delay,
         TimeUnit.MILLISECONDS);
@@ -89,8 +89,8 @@
   /** Returns the total as it last came; asks for a newer one in the background. */
   List<DemandSample> total() {
     long now = clock.getAsLong();
-    boolean first = now - lastInterest > INTEREST_MILLISECONDS;
-    lastInterest = now;
+    boolean first = now - lastReadTime > REFRESH_AFTER_READ_MILLISECONDS;
+    lastReadTime = now;
     if (first) {
       loop.execute(this::refreshTotal);
     }
@@ -151,7 +151,7 @@
   private CompletableFuture<DemandReport> domainReportOf(FailureDomain failureDomain) {
     List<Instance> members = inDomain(failureDomain);
     List<Instance> aggregators = aggregators(members, "demand-domain");
-    return ask(aggregators, 0, DemandScope.FAILURE_DOMAIN, members.size(), emptyReport());
+    return query(aggregators, 0, DemandScope.FAILURE_DOMAIN, members.size(), emptyReport());
   }
 
   private DemandReport emptyReport() {
@@ -159,31 +159,31 @@
   }
 
   /** Asks one aggregator after the other until one covers most of the members; keeps the best. */
-  private CompletableFuture<DemandReport> ask(
-      List<Instance> aggregators, int next, DemandScope scope, int members, DemandReport best) {
-    if (next >= aggregators.size() || 2 * best.instances() > members) {
-      return CompletableFuture.completedFuture(best);
+  private CompletableFuture<DemandReport> query(
+      List<Instance> aggregators, int next, DemandScope scope, int members, DemandReport mostComplete) {
+    if (next >= aggregators.size() || 2 * mostComplete.instances() > members) {
+      return CompletableFuture.completedFuture(mostComplete);
     }
-    return askOne(aggregators.get(next), scope)
-        .handleAsync((report, failure) -> failure == null ? better(report, best) : best, loop)
-        .thenCompose(better -> ask(aggregators, next + 1, scope, members, better));
+    return queryOne(aggregators.get(next), scope)
+        .handleAsync((report, failure) -> failure == null ? moreComplete(report, mostComplete) : mostComplete, loop)
+        .thenCompose(moreComplete -> query(aggregators, next + 1, scope, members, moreComplete));
   }
 
-  private CompletableFuture<PeerMessage> askOne(Instance aggregator, DemandScope scope) {
+  private CompletableFuture<PeerMessage> queryOne(Instance aggregator, DemandScope scope) {
     DemandRequest request = new DemandRequest(scope);
     return aggregator.id().equals(self.id())
         ? answer(request)
         : transport.request(aggregator.peerAddress(), request);
   }
 
-  private static DemandReport better(PeerMessage answer, DemandReport best) {
-    return answer instanceof DemandReport report && report.instances() > best.instances()
+  private static DemandReport moreComplete(PeerMessage answer, DemandReport mostComplete) {
+    return answer instanceof DemandReport report && report.instances() > mostComplete.instances()
         ? report
-        : best;
+        : mostComplete;
   }
 
-  private void refreshIfWanted() {
-    if (clock.getAsLong() - lastInterest <= INTEREST_MILLISECONDS) {
+  private void refreshIfRecentlyRead() {
+    if (clock.getAsLong() - lastReadTime <= REFRESH_AFTER_READ_MILLISECONDS) {
       refreshTotal();
     }
   }
@@ -194,16 +194,16 @@
             .collect(Collectors.groupingBy(each -> each.failureDomain().region()));
     byRegion.forEach(
         (region, members) ->
-            ask(
+            query(
                     aggregators(members, "demand-region"),
                     0,
                     DemandScope.REGION,
                     members.size(),
                     emptyReport())
-                .thenAcceptAsync(report -> regionCame(region, report), loop));
+                .thenAcceptAsync(report -> regionReportReceived(region, report), loop));
   }
 
-  private void regionCame(String region, DemandReport report) {
+  private void regionReportReceived(String region, DemandReport report) {
     long now = clock.getAsLong();
     if (report.instances() > 0) {
       regions.put(region, new RegionSum(report, now));
--- a/daemon/src/main/java/org/agatefield/daemon/peers/DomainDemand.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/FailureDomainDemand.java
@@ -12,7 +12,7 @@
  * <p>Invariant: one report for each instance, none older than its retention, so that nothing is
  * counted twice. Not safe for use by several threads; times are monotonic milliseconds.
  */
-final class DomainDemand {
+final class FailureDomainDemand {
   private static final int MAXIMUM_INSTANCES = 4_096;
 
   private final long retentionMilliseconds;
@@ -20,7 +20,7 @@
 
   private record Received(PeerMessage.DemandReport report, long time) {}
 
-  DomainDemand(long retentionMilliseconds) {
+  FailureDomainDemand(long retentionMilliseconds) {
     this.retentionMilliseconds = retentionMilliseconds;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/peers/LeavingUpstreams.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/LeavingUpstreams.java
@@ -25,8 +25,8 @@
   private static final int MAXIMUM_NOTICES = 4_096;
 
   private final Map<String, Notice> notices = new HashMap<>();
-  private final Set<String> known = new HashSet<>();
-  private Set<String> listed = Set.of();
+  private final Set<String> knownUpstreams = new HashSet<>();
+  private Set<String> listedUpstreams = Set.of();
 
   private static final class Notice {
     private long deadline;
@@ -35,8 +35,8 @@
 
   /** Takes the platform's list in place of the earlier one. */
   void listChanged(InstanceList.Snapshot snapshot, long now, int transmissions) {
-    listed = new TreeSet<>(snapshot.leavingUpstreams());
-    listed.addAll(gone(snapshot));
+    listedUpstreams = new TreeSet<>(snapshot.leavingUpstreams());
+    listedUpstreams.addAll(removedUpstreams(snapshot));
     for (String name : snapshot.leavingUpstreams()) {
       Notice notice = notices.get(name);
       if (notice == null || notice.deadline - now < NOTICE_MILLISECONDS / 2) {
@@ -49,22 +49,22 @@
    * Returns the upstreams that were on the list and are not any more; none while the list names no
    * live upstream, since it is then more likely to be incomplete.
    */
-  private Set<String> gone(InstanceList.Snapshot snapshot) {
-    known.addAll(snapshot.liveUpstreams());
-    known.addAll(snapshot.leavingUpstreams());
+  private Set<String> removedUpstreams(InstanceList.Snapshot snapshot) {
+    knownUpstreams.addAll(snapshot.liveUpstreams());
+    knownUpstreams.addAll(snapshot.leavingUpstreams());
     if (snapshot.liveUpstreams().isEmpty()) {
       return Set.of();
     }
-    Set<String> gone = new HashSet<>(known);
-    gone.removeAll(snapshot.liveUpstreams());
-    gone.removeAll(snapshot.leavingUpstreams());
-    return gone;
+    Set<String> removedUpstreams = new HashSet<>(knownUpstreams);
+    removedUpstreams.removeAll(snapshot.liveUpstreams());
+    removedUpstreams.removeAll(snapshot.leavingUpstreams());
+    return removedUpstreams;
   }
 
   /** Takes what another instance told of; returns whether anything was new. */
-  boolean heard(List<PeerMessage.LeavingUpstream> told, long now, int transmissions) {
+  boolean receiveNotices(List<PeerMessage.LeavingUpstream> received, long now, int transmissions) {
     boolean changed = false;
-    for (PeerMessage.LeavingUpstream upstream : told) {
+    for (PeerMessage.LeavingUpstream upstream : received) {
       long remaining = Math.min(upstream.remainingMilliseconds(), NOTICE_MILLISECONDS);
       Notice notice = notices.get(upstream.name());
       boolean later = notice == null || notice.deadline + NOTICE_MILLISECONDS / 4 < now + remaining;
@@ -83,7 +83,7 @@
   }
 
   /** Returns the notices for the next message, those to be sent most often first. */
-  List<PeerMessage.LeavingUpstream> take(long now) {
+  List<PeerMessage.LeavingUpstream> nextNotices(long now) {
     notices.values().removeIf(notice -> notice.deadline <= now);
     List<Map.Entry<String, Notice>> pending = new ArrayList<>();
     for (Map.Entry<String, Notice> entry : notices.entrySet()) {
@@ -92,24 +92,24 @@
       }
     }
     pending.sort(Comparator.comparingInt(entry -> -entry.getValue().transmissionsLeft));
-    List<PeerMessage.LeavingUpstream> taken = new ArrayList<>();
+    List<PeerMessage.LeavingUpstream> next = new ArrayList<>();
     for (Map.Entry<String, Notice> entry :
         pending.subList(0, Math.min(NOTICES_PER_MESSAGE, pending.size()))) {
       Notice notice = entry.getValue();
       notice.transmissionsLeft--;
-      taken.add(new PeerMessage.LeavingUpstream(entry.getKey(), notice.deadline - now));
+      next.add(new PeerMessage.LeavingUpstream(entry.getKey(), notice.deadline - now));
     }
-    return taken;
+    return next;
   }
 
   /** Returns whether a notice still waits to be sent. */
-  boolean hasNews() {
+  boolean hasPendingNotices() {
     return notices.values().stream().anyMatch(notice -> notice.transmissionsLeft > 0);
   }
 
   /** Returns the names of the upstreams that get no new work. */
   Set<String> names(long now) {
-    Set<String> names = new TreeSet<>(listed);
+    Set<String> names = new TreeSet<>(listedUpstreams);
     notices.forEach(
         (name, notice) -> {
           if (notice.deadline > now) {
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -29,10 +29,10 @@
   private final Membership membership;
   private final PeerTransport transport;
   private final Supplier<List<PeerMessage.LeavingUpstream>> attachments;
-  private final GenerationListener generations;
+  private final GenerationListener generationListener;
   private volatile Instance self;
   private volatile List<Instance> alive;
-  private volatile List<Instance> answering;
+  private volatile List<Instance> reachable;
 
   /** Told of configuration generations that members mention. */
   @FunctionalInterface
@@ -52,13 +52,13 @@
       PeerTransport transport,
       UniformRandomProvider random,
       Supplier<List<PeerMessage.LeavingUpstream>> attachments,
-      GenerationListener generations) {
+      GenerationListener generationListener) {
     this.self = self;
     this.alive = List.of(self);
-    this.answering = List.of(self);
+    this.reachable = List.of(self);
     this.transport = transport;
     this.attachments = attachments;
-    this.generations = generations;
+    this.generationListener = generationListener;
     this.membership = new Membership(self, settings, random, now());
   }
 
@@ -73,8 +73,8 @@
   }
 
   /** Returns every instance that is alive and not suspected, this one first. */
-  public List<Instance> answering() {
-    return answering;
+  public List<Instance> reachable() {
+    return reachable;
   }
 
   /** Takes one event and carries out what follows. */
@@ -99,8 +99,8 @@
           send.address(), MembershipTranslator.toPeer(send.message(), attachments.get()));
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       memberChanged(changed.update());
-    } else if (action instanceof MembershipAction.GenerationHeard heard) {
-      generations.heard(heard.holder(), heard.generation());
+    } else if (action instanceof MembershipAction.GenerationObserved heard) {
+      generationListener.heard(heard.holder(), heard.generation());
     }
   }
 
@@ -121,7 +121,7 @@
       }
     }
     alive = List.copyOf(instances);
-    answering = List.copyOf(unsuspected);
+    reachable = List.copyOf(unsuspected);
   }
 
   private static long now() {
--- a/daemon/src/main/java/org/agatefield/daemon/peers/PeerDuty.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
@@ -43,7 +43,7 @@
  * immutable snapshots. An instance that has left never becomes live again. Safe for use by any
  * thread.
  */
-public final class PeerDuty implements InstanceDirectory, DemandDirectory, AutoCloseable {
+public final class PeerCoordinator implements InstanceDirectory, DemandDirectory, AutoCloseable {
   private static final long LIST_INTERVAL_MILLISECONDS = 1_000;
   private static final long SHUTDOWN_MILLISECONDS = 2_000;
 
@@ -52,8 +52,8 @@
   private final NettyPeerTransport transport;
   private final MembershipDriver members;
   private final LeavingUpstreams leavingUpstreams = new LeavingUpstreams();
-  private final ConfigurationSpread configuration;
-  private final DemandTree demand;
+  private final ConfigurationSynchronizer configuration;
+  private final DemandAggregation demand;
   private final InstanceList instanceList;
   private final ConfigurationSource source;
   private final List<Address> settingsSeeds;
@@ -68,7 +68,7 @@
    * @param instanceList the platform's lagging list
    * @throws AgatefieldException if the peer address cannot be listened on
    */
-  public PeerDuty(
+  public PeerCoordinator(
       Instance self,
       List<Address> seeds,
       Optional<PeerTls> tls,
@@ -96,12 +96,12 @@
             transport,
             random,
             () -> leavingUpstreams.take(now()),
-            this::generationHeard);
+            this::generationObserved);
     Supplier<List<Instance>> instances = members::alive;
     this.configuration =
-        new ConfigurationSpread(self, loop, transport, source, sink, random, instances);
+        new ConfigurationSynchronizer(self, loop, transport, source, sink, random, instances);
     this.demand =
-        new DemandTree(self, loop, transport, demandSource, instances, random, PeerDuty::now);
+        new DemandAggregation(self, loop, transport, demandSource, instances, random, PeerCoordinator::now);
     registerMetrics(metrics);
   }
 
@@ -182,7 +182,7 @@
     members.handle(event);
   }
 
-  private void generationHeard(Instance holder, long generation) {
+  private void generationObserved(Instance holder, long generation) {
     configuration.heard(holder, generation);
   }
 
@@ -197,7 +197,7 @@
 
   private void upstreamsChanged() {
     leavingNames = leavingUpstreams.names(now());
-    if (leavingUpstreams.hasNews()) {
+    if (leavingUpstreams.hasPendingNotices()) {
       handle(new MembershipEvent.GossipRequested());
     }
   }
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -14,7 +14,7 @@
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.model.UpstreamKind;
-import org.agatefield.placement.DrainRules;
+import org.agatefield.placement.DrainPolicy;
 import org.agatefield.placement.LedgerAges;
 import org.agatefield.placement.LoadBudget;
 import org.agatefield.placement.MoveKind;
@@ -26,8 +26,8 @@
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
-import org.agatefield.placement.RunnerStep;
-import org.agatefield.placement.RunnerSteps;
+import org.agatefield.placement.ReconciliationStep;
+import org.agatefield.placement.RunnerReconciler;
 import org.agatefield.placement.RunnerView;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -47,7 +47,7 @@
   private final PlacementContext placementContext;
   private final PlacementTimings timings;
   private final PlacementPlanner planner;
-  private final RunnerSteps steps;
+  private final RunnerReconciler steps;
   private final LedgerTable table;
   private final PlannerTakeover takeover;
   private final OrderSender sender;
@@ -71,9 +71,9 @@
     this.takeover = new PlannerTakeover(table);
     this.sender = new OrderSender(placementContext, timings);
     this.reports = new LoadReportPoller(placementContext);
-    this.steps = new RunnerSteps(timings.orderQuarantine().toNanos());
-    DrainRules drainRules =
-        new DrainRules(timings.minimumDrain().toNanos(), timings.maximumDrain().toNanos());
+    this.steps = new RunnerReconciler(timings.orderQuarantine().toNanos());
+    DrainPolicy drainRules =
+        new DrainPolicy(timings.minimumDrain().toNanos(), timings.maximumDrain().toNanos());
     this.planner = new PlacementPlanner(policy, drainRules);
   }
 
@@ -204,7 +204,7 @@
         .whenComplete((done, failure) -> operationEnded(runner, state, failure));
   }
 
-  private void take(Upstream runner, RunnerState state, RunnerLedger before, RunnerStep step) {
+  private void take(Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
     state.begin();
     long token = heldToken;
     LOGGER.info("placement step upstream={} reason=\"{}\"", runner.name(), step.reason());
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlannerTakeover.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlannerTakeover.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.model.Upstream;
-import org.agatefield.placement.LedgerRules;
+import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.placement.RunnerLedger;
 
 /**
@@ -44,7 +44,7 @@
             .get(runner.name())
             .orElse(RunnerLedger.empty(runner.name(), runner.memoryMegabytes()));
     try {
-      return table.write(LedgerRules.takeOver(ledger, runner.memoryMegabytes(), leaseToken));
+      return table.write(LedgerTransitions.takeOver(ledger, runner.memoryMegabytes(), leaseToken));
     } catch (IllegalStateException exception) {
       return CompletableFuture.failedFuture(exception);
     }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControlTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -18,12 +18,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Supplier;
-import org.agatefield.daemon.forward.wire.AnswerKind;
+import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.OrderOutcome;
 import org.agatefield.daemon.forward.wire.RunnerDialect;
 import org.agatefield.daemon.forward.wire.RunnerOrder;
 import org.agatefield.daemon.forward.wire.SendTerms;
-import org.agatefield.forwarding.HeldModel;
+import org.agatefield.forwarding.LoadedModel;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerReport;
 import org.agatefield.lease.LeaseGrant;
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A runner over sockets whose answers and reports are late. */
-class EngineControlTest {
+class EngineControllerTest {
   private static final Duration PATIENCE = Duration.ofSeconds(10);
   private static final long SLOW_ANSWER_MILLISECONDS = 300;
   private static final long REPORT_AGE_MILLISECONDS = 250; // some hundred, by the pages
@@ -47,7 +47,7 @@
   private volatile RunnerReport report = report(0, false);
   private volatile int orderStatus = ACCEPTED;
   private volatile long answerDelay = 1;
-  private EngineControl control;
+  private EngineController control;
 
   /** Writes orders as their model's name; the report is handed over beside the wire. */
   private final class Dialect implements RunnerDialect {
@@ -55,8 +55,8 @@
     public void writeTerms(SendTerms terms, MultiMap headers) {}
 
     @Override
-    public AnswerKind answerKind(int status, MultiMap headers, String requestId) {
-      return AnswerKind.SUCCESS;
+    public ResponseKind responseKind(int status, MultiMap headers, String requestId) {
+      return ResponseKind.SUCCESS;
     }
 
     @Override
@@ -100,7 +100,7 @@
     }
   }
 
-  private static final class Granted implements EngineControl.Orders {
+  private static final class Granted implements EngineController.Orders {
     @Override
     public Optional<LeaseGrant> grant() {
       return Optional.of(new LeaseGrant(1, Long.MAX_VALUE));
@@ -119,8 +119,8 @@
   }
 
   private static RunnerReport report(long acceptedOrders, boolean busy, String... models) {
-    List<HeldModel> held =
-        java.util.Arrays.stream(models).map(name -> new HeldModel(name, Set.of())).toList();
+    List<LoadedModel> held =
+        java.util.Arrays.stream(models).map(name -> new LoadedModel(name, Set.of())).toList();
     return new RunnerReport(1, held, Set.of(), busy, acceptedOrders, Set.of(), Set.of());
   }
 
@@ -150,8 +150,8 @@
     onLoop(
         () -> {
           control =
-              new EngineControl(
-                  vertx, vertx.createHttpClient(), new Dialect(), new Granted(), new LateOrders());
+              new EngineController(
+                  vertx, vertx.createHttpClient(), new Dialect(), new Granted(), new OutstandingOrders());
           control.update(entry, true, 8);
           return null;
         });
--- a/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ForwardingPeersTest.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void configurationHeard(Instance holder, long version) {}
+    public void configurationAnnounced(Instance holder, long version) {}
 
     @Override
     public void received(PeerMessage message) {
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/LoadExchangeTest.java
@@ -130,7 +130,7 @@
     messages.clear();
     run(SETTLED_MILLISECONDS);
     return members.values().stream()
-        .filter(member -> !member.relays().speaks())
+        .filter(member -> !member.relays().representsDomain())
         .mapToInt(member -> messages.get(member.self().id()))
         .max()
         .orElseThrow();
--- a/daemon/src/test/java/org/agatefield/daemon/forward/LateOrdersTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/OutstandingOrdersTest.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class LateOrdersTest {
-  private final LateOrders late = new LateOrders();
+class OutstandingOrdersTest {
+  private final OutstandingOrders late = new OutstandingOrders();
 
   @Test
   void orderWithoutAnswerCountsInTheNextLifeUntilItCanNoLongerTakeEffect() {
     late.sent("m1", 1_000);
     assertEquals(Set.of(), late.models(1_000));
     late.newLife();
-    assertEquals(Set.of("m1"), late.models(1_000 + LateOrders.LATE_MILLISECONDS));
-    assertEquals(Set.of(), late.models(1_001 + LateOrders.LATE_MILLISECONDS));
+    assertEquals(Set.of("m1"), late.models(1_000 + OutstandingOrders.LATE_MILLISECONDS));
+    assertEquals(Set.of(), late.models(1_001 + OutstandingOrders.LATE_MILLISECONDS));
   }
 
   @Test
@@ -47,12 +47,12 @@
 
   @Test
   void ordersOutliveTheEntryOfTheirRunner() {
-    LateOrdersByRunner byRunner = new LateOrdersByRunner();
+    OutstandingOrdersByRunner byRunner = new OutstandingOrdersByRunner();
     byRunner.of("r").sent("m1", 0);
     byRunner.gone("r");
     byRunner.forget(runner -> false, 5_000);
     assertEquals(Set.of("m1"), byRunner.of("r").models(5_000));
-    byRunner.forget(runner -> false, 1 + LateOrders.LATE_MILLISECONDS);
-    assertEquals(Set.of(), byRunner.of("r").models(1 + LateOrders.LATE_MILLISECONDS));
+    byRunner.forget(runner -> false, 1 + OutstandingOrders.LATE_MILLISECONDS);
+    assertEquals(Set.of(), byRunner.of("r").models(1 + OutstandingOrders.LATE_MILLISECONDS));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/HeldQuotasTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RegionalQuotaPolicyTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A fleet in two regions on simulated time, with cuts, restarts and delays. */
-class HeldQuotasTest {
+class RegionalQuotaPolicyTest {
   private static final int INSTANCES = 20;
   private static final double REQUEST_TOKENS = 2_400;
   private static final double WINDOW_SECONDS = 8;
@@ -61,9 +61,9 @@
   private record Grant(long at, double tokens) {}
 
   /** One instance; another life of it is another member under the same name. */
-  private final class Member implements HeldQuotas.Fleet {
+  private final class Member implements RegionalQuotaPolicy.Fleet {
     private final Instance self;
-    private final HeldQuotas quotas;
+    private final RegionalQuotaPolicy quotas;
     private ClientAccount account;
     private final Map<String, Long> lostAt = new LinkedHashMap<>();
     private final FleetSize size = new FleetSize(() -> answering().size());
@@ -73,7 +73,7 @@
       this.self = self;
       this.account = account;
       this.quotas =
-          new HeldQuotas(
+          new RegionalQuotaPolicy(
               (delay, work) -> schedule(delay, whileAlive(work)),
               () -> now,
               this,
@@ -201,7 +201,7 @@
     for (int index = 0; index < INSTANCES; index++) {
       startMember(index, account);
     }
-    schedule(HeldQuotas.KEEP_MILLISECONDS, this::keepAll);
+    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::keepAll);
     runUntil(15_000);
   }
 
@@ -213,9 +213,9 @@
   }
 
   private void keepAll() {
-    members.values().forEach(member -> member.size.look(now));
+    members.values().forEach(member -> member.size.sample(now));
     members.values().forEach(member -> member.quotas.keep(now));
-    schedule(HeldQuotas.KEEP_MILLISECONDS, this::keepAll);
+    schedule(RegionalQuotaPolicy.KEEP_MILLISECONDS, this::keepAll);
   }
 
   private void ask(ClientAccount account, Random random, Optional<Integer> region) {
@@ -237,7 +237,7 @@
         decision -> {
           if (decision instanceof QuotaPolicy.Decision.Granted && unusedShare > 0) {
             if (random.nextDouble() < unusedShare) {
-              schedule(200, () -> member.quotas.giveBack(account, REQUEST_TOKENS));
+              schedule(200, () -> member.quotas.refund(account, REQUEST_TOKENS));
               return;
             }
           }
@@ -380,8 +380,8 @@
   @Test
   void equalPartsRefuseAnAccountBelowItsQuota() {
     ClientAccount account = account(4_200);
-    FixedShareQuotas quotas =
-        new FixedShareQuotas(
+    EqualShareQuotaPolicy quotas =
+        new EqualShareQuotaPolicy(
             new QuotaTolerance(WINDOW_SECONDS, OVERAGE, SLACK),
             new FleetSize(() -> INSTANCES),
             () -> now);
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RelayedObjectSourceTest.java
@@ -30,16 +30,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class RelayedObjectsTest {
+class RelayedObjectSourceTest {
   private static final long LIMIT_SECONDS = 10;
 
   private final Vertx vertx = Vertx.vertx();
   private volatile long clock = 10_000;
-  private final Map<String, KnowledgeRelay> relays = new HashMap<>();
+  private final Map<String, ObjectRelay> relays = new HashMap<>();
   private final List<Instance> sources = new ArrayList<>();
   private final CountingStore store = new CountingStore();
-  private final RelayedObjects objects =
-      new RelayedObjects(vertx, store, () -> List.copyOf(sources), this::send);
+  private final RelayedObjectSource objects =
+      new RelayedObjectSource(vertx, store, () -> List.copyOf(sources), this::send);
 
   /** A store that answers nothing but counts how often it is asked. */
   private static final class CountingStore implements ObjectSource {
@@ -88,11 +88,11 @@
         JsonNodeFactory.instance.textNode(text));
   }
 
-  private KnowledgeRelay addSource(String id) {
+  private ObjectRelay addSource(String id) {
     Address address = new Address("10.0.0.1", 80);
     sources.add(
         new Instance(id, address, address, new FailureDomain("r", "d"), InstanceState.LIVE));
-    KnowledgeRelay relay = new KnowledgeRelay(vertx, id, () -> clock);
+    ObjectRelay relay = new ObjectRelay(vertx, id, () -> clock);
     relays.put(id, relay);
     return relay;
   }
@@ -113,7 +113,7 @@
 
   @Test
   void objectsAndTheirChangesComeFromTheSourceWithoutCallToTheStore() throws Exception {
-    KnowledgeRelay relay = addSource("one");
+    ObjectRelay relay = addSource("one");
     relay.changed(object("a", "first"));
     relay.confirmed();
     ObjectList listed = list();
@@ -132,7 +132,7 @@
   @Test
   void nothingIsToldBeforeTheSourceKnowsTheObjects() throws Exception {
     addSource("one");
-    KnowledgeRelay second = addSource("two");
+    ObjectRelay second = addSource("two");
     second.changed(object("a", "known"));
     second.confirmed();
     assertEquals("known", list().objects().get(0).content().asText());
@@ -140,9 +140,9 @@
 
   @Test
   void watchEndsAsGoneWhenItsSourceLosesTheStoreAndTheNextListChoosesAgain() throws Exception {
-    KnowledgeRelay first = addSource("one");
+    ObjectRelay first = addSource("one");
     first.confirmed();
-    final KnowledgeRelay second = addSource("two");
+    final ObjectRelay second = addSource("two");
     Recorder recorder = new Recorder();
     try (AutoCloseable watch =
         objects.watch(ObjectKind.RUNNER, list().resourceVersion(), recorder)) {
@@ -184,10 +184,10 @@
 
   @Test
   void sourceThatStartedAgainGivesAllObjectsAnew() throws Exception {
-    KnowledgeRelay relay = addSource("one");
+    ObjectRelay relay = addSource("one");
     relay.confirmed();
     String version = list().resourceVersion();
-    KnowledgeRelay later = new KnowledgeRelay(vertx, "one-again", () -> clock);
+    ObjectRelay later = new ObjectRelay(vertx, "one-again", () -> clock);
     later.confirmed();
     relays.put("one", later);
     Recorder recorder = new Recorder();
@@ -198,11 +198,11 @@
 
   @Test
   void sourceThatHasNotHeardFromTheStoreLatelyIsPassedOver() throws Exception {
-    KnowledgeRelay first = addSource("one");
+    ObjectRelay first = addSource("one");
     first.changed(object("a", "old"));
     first.confirmed();
     clock += 3_000;
-    KnowledgeRelay second = addSource("two");
+    ObjectRelay second = addSource("two");
     second.changed(object("a", "new"));
     second.confirmed();
     assertEquals("new", list().objects().get(0).content().asText());
--- a/daemon/src/test/java/org/agatefield/daemon/forward/AnswerMemoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/ResponseMemoryTest.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AnswerMemoryTest {
+class ResponseMemoryTest {
   private static final int MEBIBYTE = 1_048_576;
   private static final int USUAL_BYTES = 100_000;
 
-  private final AnswerMemory memory = new AnswerMemory();
+  private final ResponseMemory memory = new ResponseMemory();
 
   /** Lets answers grow in turn until none may grow any more; returns the most held at once. */
   private long growTogether(int answers) {
-    List<AnswerMemory.Share> growing = new ArrayList<>();
+    List<ResponseMemory.Share> growing = new ArrayList<>();
     for (int number = 0; number < answers; number++) {
       growing.add(memory.share());
     }
@@ -29,7 +29,7 @@
     return most;
   }
 
-  private static boolean endsAt(AnswerMemory.Share share, int holds) {
+  private static boolean endsAt(ResponseMemory.Share share, int holds) {
     boolean ends = !share.hold(holds);
     if (ends) {
       share.release();
@@ -51,8 +51,8 @@
 
   @Test
   void answersOfUsualSizeFindRoomBesideLargeOnes() {
-    AnswerMemory.Share first = memory.share();
-    AnswerMemory.Share second = memory.share();
+    ResponseMemory.Share first = memory.share();
+    ResponseMemory.Share second = memory.share();
     assertTrue(first.hold(15 * MEBIBYTE));
     assertFalse(second.hold(15 * MEBIBYTE));
     assertTrue(memory.share().hold(USUAL_BYTES));
--- a/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/RunnerDirectoryTest.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.agatefield.daemon.forward.wire.KnowledgeDialect;
-import org.agatefield.forwarding.FewestRunningChoice;
+import org.agatefield.daemon.forward.wire.StoredObjectDialect;
+import org.agatefield.forwarding.FewestRunningChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerEntry;
 import org.agatefield.forwarding.RunnerLoads;
@@ -27,7 +27,7 @@
   private final RunnerDirectory directory = new RunnerDirectory(new TextDialect());
 
   /** Reads content of the form {@code ready}, {@code draining} or anything unreadable. */
-  private static final class TextDialect implements KnowledgeDialect {
+  private static final class TextDialect implements StoredObjectDialect {
     @Override
     public String configurationName() {
       return "main";
@@ -116,8 +116,8 @@
             directory,
             new RunnerLoads(),
             new ModelPresence(),
-            new RunnerNotices(notice -> {}),
-            new FewestRunningChoice());
+            new RunnerAvailability(notice -> {}),
+            new FewestRunningChooser());
     directory.changed(entry("a", "ready"));
     RunnerEntry chosen = directory.entry("a").orElseThrow();
     assertTrue(selector.isUsable(chosen));
@@ -135,7 +135,7 @@
   @Test
   void whatPeerTellsDoesNotReplaceWhatTheStoreSaid() {
     directory.changed(entry("a", "draining"));
-    directory.learnFromPeer("a", JsonNodeFactory.instance.textNode("ready"), 10);
+    directory.addFromPeer("a", JsonNodeFactory.instance.textNode("ready"), 10);
     assertEquals(0, usable());
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/StallLimitsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/StallTimeoutsTest.java
@@ -8,7 +8,7 @@
 import org.agatefield.forwarding.WeightedService;
 import org.junit.jupiter.api.Test;
 
-class StallLimitsTest {
+class StallTimeoutsTest {
   private static final Route STREAM =
       new Route(
           "r",
@@ -26,18 +26,18 @@
 
   @Test
   void runnerThatStillSendsToOthersIsGivenMoreTime() {
-    long busy = StallLimits.milliseconds(STREAM, false, 5_000, 100);
-    long lost = StallLimits.milliseconds(STREAM, false, 5_000, 2_000);
+    long busy = StallTimeouts.milliseconds(STREAM, false, 5_000, 100);
+    long lost = StallTimeouts.milliseconds(STREAM, false, 5_000, 2_000);
     assertTrue(busy > lost, busy + " and " + lost);
   }
 
   @Test
   void lostRunnerLeavesTimeForAnotherAttempt() {
-    assertTrue(StallLimits.milliseconds(STREAM, false, 5_000, 2_000) <= 2_500);
+    assertTrue(StallTimeouts.milliseconds(STREAM, false, 5_000, 2_000) <= 2_500);
   }
 
   @Test
   void brokenPauseIsNoticedBeforeTheCallerLeaves() {
-    assertTrue(StallLimits.milliseconds(STREAM, true, 5_000, 2_000) < 2_000);
+    assertTrue(StallTimeouts.milliseconds(STREAM, true, 5_000, 2_000) < 2_000);
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/forward/StandstillDetectorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/SuspensionDetectorTest.java
@@ -5,23 +5,23 @@
 
 import org.junit.jupiter.api.Test;
 
-class StandstillDetectorTest {
-  private final StandstillDetector detector = new StandstillDetector(1_000, 500_000);
+class SuspensionDetectorTest {
+  private final SuspensionDetector detector = new SuspensionDetector(1_000, 500_000);
 
   @Test
   void clocksThatGoTogetherAreTrusted() {
-    assertFalse(detector.stoodStill(1_200, 500_210));
-    assertFalse(detector.stoodStill(9_200, 508_205));
+    assertFalse(detector.wasSuspended(1_200, 500_210));
+    assertFalse(detector.wasSuspended(9_200, 508_205));
   }
 
   @Test
   void suspensionThatOnlyTheTimeOfDayCountsIsNoticedOnce() {
-    assertTrue(detector.stoodStill(1_200, 506_200));
-    assertFalse(detector.stoodStill(1_400, 506_400));
+    assertTrue(detector.wasSuspended(1_200, 506_200));
+    assertFalse(detector.wasSuspended(1_400, 506_400));
   }
 
   @Test
   void stepOfTheTimeOfDayIsNoticedEitherWay() {
-    assertTrue(detector.stoodStill(1_200, 498_200));
+    assertTrue(detector.wasSuspended(1_200, 498_200));
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/CallerApiHarness.java
@@ -107,7 +107,7 @@
     FixedDirectory directory = new FixedDirectory();
     CallerApi api =
         new CallerApi(
-            new CallerApiParts(
+            new CallerApiDependencies(
                 vertx,
                 new FixedConfiguration(),
                 dispatcher,
--- a/daemon/src/test/java/org/agatefield/daemon/http/ShutdownCoordinatorTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/http/ShutdownCoordinatorTest.java
@@ -44,33 +44,33 @@
 
   @Test
   void servesUntilNoCallerCanHoldAnAnswerThatNamesIt() {
-    final CompletableFuture<Boolean> over = coordinator.beginLeaving(() -> {});
+    final CompletableFuture<Boolean> over = coordinator.beginShutdown(() -> {});
     assertTrue(coordinator.isLeaving());
     advanceTo(1_031 * SECOND);
-    assertTrue(coordinator.tryBegin());
+    assertTrue(coordinator.tryBeginRequest());
     advanceTo(1_033 * SECOND);
-    assertFalse(coordinator.tryBegin());
+    assertFalse(coordinator.tryBeginRequest());
     assertFalse(over.isDone());
-    coordinator.ending().run();
+    coordinator.requestCompletion().run();
     assertTrue(over.join());
     assertEquals(0, violations.get());
   }
 
   @Test
   void countsTheTimeToLiveFromTheLastAnswerThatNamedIt() {
-    coordinator.beginLeaving(() -> {});
+    coordinator.beginShutdown(() -> {});
     advanceTo(1_020 * SECOND);
-    coordinator.namedInEntryAnswer();
+    coordinator.recordEntryAnswer();
     advanceTo(1_049 * SECOND);
-    assertTrue(coordinator.tryBegin());
+    assertTrue(coordinator.tryBeginRequest());
     advanceTo(1_051 * SECOND);
-    assertFalse(coordinator.tryBegin());
+    assertFalse(coordinator.tryBeginRequest());
   }
 
   @Test
   void waitsForCallsWhoseOutcomeIsNotYetWritten() {
     calls.set(1);
-    CompletableFuture<Boolean> over = coordinator.beginLeaving(() -> {});
+    CompletableFuture<Boolean> over = coordinator.beginShutdown(() -> {});
     advanceTo(1_040 * SECOND);
     assertFalse(over.isDone());
     calls.set(0);
@@ -79,8 +79,8 @@
 
   @Test
   void givesUpAfterTheDrainTimeoutAndReportsIt() {
-    assertTrue(coordinator.tryBegin());
-    CompletableFuture<Boolean> over = coordinator.beginLeaving(() -> {});
+    assertTrue(coordinator.tryBeginRequest());
+    CompletableFuture<Boolean> over = coordinator.beginShutdown(() -> {});
     advanceTo(1_033 * SECOND);
     now.set(1_094 * SECOND);
     assertFalse(over.join());
@@ -90,13 +90,13 @@
   @Test
   void countsEachRequestOutOnceAndSaysThatItLeavesOnce() {
     final AtomicInteger said = new AtomicInteger();
-    assertTrue(coordinator.tryBegin() && coordinator.tryBegin());
-    Runnable ending = coordinator.ending();
-    ending.run();
-    ending.run();
+    assertTrue(coordinator.tryBeginRequest() && coordinator.tryBeginRequest());
+    Runnable requestCompletion = coordinator.requestCompletion();
+    requestCompletion.run();
+    requestCompletion.run();
     assertEquals(1, coordinator.running());
-    coordinator.beginLeaving(said::incrementAndGet);
-    coordinator.beginLeaving(said::incrementAndGet);
+    coordinator.beginShutdown(said::incrementAndGet);
+    coordinator.beginShutdown(said::incrementAndGet);
     assertEquals(1, said.get());
   }
 
@@ -109,7 +109,7 @@
           CompletableFuture.supplyAsync(
               () -> harness.post(harness.address, "/v1/completions", body));
       await().atMost(LIMIT).until(() -> harness.shutdown.running() == 1);
-      CompletableFuture<Boolean> over = harness.shutdown.beginLeaving(() -> {});
+      CompletableFuture<Boolean> over = harness.shutdown.beginShutdown(() -> {});
       assertEquals(503, harness.get(harness.address, "/readyz").statusCode());
       assertEquals(200, harness.get(harness.address, "/healthz").statusCode());
       assertTrue(over.join());
--- a/daemon/src/test/java/org/agatefield/daemon/peers/PeerDutyTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/peers/PeerCoordinatorTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class PeerDutyTest {
+class PeerCoordinatorTest {
   private static final Duration LIMIT = Duration.ofSeconds(60);
   private static final Duration SEVERAL_ROUNDS =
       Duration.ofSeconds(3); // of probes and of reading lists
@@ -147,7 +147,7 @@
   /** One instance with a configuration and a list of its own. */
   private static final class Node implements ConfigurationSource, ConfigurationSink {
     private final Instance instance;
-    private final PeerDuty duty;
+    private final PeerCoordinator duty;
     private final FakeList list = new FakeList();
     private final List<Consumer<ConfigurationDocument>> listeners = new CopyOnWriteArrayList<>();
     private ConfigurationDocument document = ConfigurationDocument.empty();
@@ -156,7 +156,7 @@
       Address address = freeAddress();
       instance = new Instance(id, address, address, failureDomain, InstanceState.LIVE);
       duty =
-          new PeerDuty(
+          new PeerCoordinator(
               instance,
               seeds,
               Optional.empty(),
--- a/forwarding/src/main/java/org/agatefield/forwarding/AccountTable.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/AccountTable.java
@@ -36,7 +36,7 @@
   }
 
   /** Returns the account that holds a key. */
-  public Optional<ClientAccount> holderOf(KeyDigest key) {
+  public Optional<ClientAccount> accountFor(KeyDigest key) {
     return Optional.ofNullable(byKey.get(key));
   }
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/EarliestBeginChoice.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/EarliestStartChooser.java
@@ -14,7 +14,7 @@
  * one begins. Runners nearby are preferred by the time that a crossing takes and, as crossings are
  * paid by volume, by a margin beside it. Stateless and safe for use by any thread.
  */
-public final class EarliestBeginChoice implements RunnerChoice {
+public final class EarliestStartChooser implements RunnerChooser {
   // A crossing is worth it when it saves about a tenth of the usual one-second objective.
   private static final double DOMAIN_CROSSING_MILLISECONDS = 60;
   private static final double REGION_CROSSING_MILLISECONDS = 250;
@@ -28,14 +28,14 @@
   private final UniformRandomProvider random;
 
   /** Creates a choice that draws among runners that are about equally good. */
-  public EarliestBeginChoice(UniformRandomProvider random) {
+  public EarliestStartChooser(UniformRandomProvider random) {
     this.random = random;
   }
 
   @Override
   public Optional<RunnerCandidate> choose(List<RunnerCandidate> candidates) {
     OptionalDouble earliest =
-        candidates.stream().mapToDouble(EarliestBeginChoice::expectedMilliseconds).min();
+        candidates.stream().mapToDouble(EarliestStartChooser::expectedMilliseconds).min();
     if (earliest.isEmpty()) {
       return Optional.empty();
     }
@@ -53,7 +53,7 @@
           case OTHER_REGION -> REGION_CROSSING_MILLISECONDS;
         };
     double adapter = candidate.adapterPresent() ? 0 : ADAPTER_LOAD_MILLISECONDS;
-    return crossing + candidate.readingMilliseconds() + adapter + occupancy(candidate);
+    return crossing + candidate.prefillMilliseconds() + adapter + occupancy(candidate);
   }
 
   private static double occupancy(RunnerCandidate candidate) {
--- a/forwarding/src/main/java/org/agatefield/forwarding/ForwardedRequest.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/ForwardedRequest.java
@@ -24,7 +24,7 @@
 public final class ForwardedRequest {
   private static final int MAXIMUM_SENDS = 6; // rejections are cheap, but each costs a round trip
 
-  private final Repetition repetition;
+  private final RetryMode retryMode;
   private final int maximumAttempts;
   private final RetryAllowance allowance;
   private final Set<String> tried = new HashSet<>();
@@ -49,11 +49,11 @@
    * @param lastEventId the event after which the caller wants the stream to go on
    */
   public ForwardedRequest(
-      Repetition repetition,
+      RetryMode retryMode,
       int maximumAttempts,
       Optional<String> lastEventId,
       RetryAllowance allowance) {
-    this.repetition = repetition;
+    this.retryMode = retryMode;
     this.maximumAttempts = Math.max(1, maximumAttempts);
     this.resumeAfter = lastEventId;
     this.allowance = allowance;
@@ -82,7 +82,7 @@
   }
 
   /** The runner could not be reached; no byte of the request was sent. */
-  public List<RequestAction> unreached(int which) {
+  public List<RequestAction> connectFailed(int which) {
     if (!isOpen(which)) {
       return List.of();
     }
@@ -116,7 +116,7 @@
     if (streaming) {
       return resumeOrAbort();
     }
-    if (repetition != Repetition.NEVER && mayRunAgain()) {
+    if (retryMode != RetryMode.NEVER && mayRunAgain()) {
       return List.of(choose());
     }
     if (deliverable) {
@@ -196,7 +196,7 @@
     if (phase == Phase.OPEN) {
       actions.add(new RequestAction.Cancel(attempt));
     }
-    actions.addAll(finish(new RequestAction.Forget()));
+    actions.addAll(finish(new RequestAction.Discard()));
     return actions;
   }
 
@@ -211,7 +211,7 @@
   }
 
   /** Returns whether the next send repeats a run. */
-  public boolean repeats() {
+  public boolean nextSendIsRepeat() {
     return repeatedRun;
   }
 
@@ -225,10 +225,10 @@
   }
 
   private boolean canRunAgain() {
-    if (repetition == Repetition.NEVER || possibleRuns + 1 >= maximumAttempts) {
+    if (retryMode == RetryMode.NEVER || possibleRuns + 1 >= maximumAttempts) {
       return false;
     }
-    return !streaming || (repetition == Repetition.RESUME && resumeAfter.isPresent());
+    return !streaming || (retryMode == RetryMode.RESUME && resumeAfter.isPresent());
   }
 
   private boolean mayRunAgain() {
@@ -238,7 +238,7 @@
   }
 
   private List<RequestAction> resumeOrAbort() {
-    boolean resumable = repetition == Repetition.RESUME && resumeAfter.isPresent();
+    boolean resumable = retryMode == RetryMode.RESUME && resumeAfter.isPresent();
     if (resumable && mayRunAgain()) {
       return List.of(choose());
     }
--- a/forwarding/src/main/java/org/agatefield/forwarding/PromptTerms.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/GenerationParameters.java
@@ -12,14 +12,14 @@
  * @param outputTokens the most tokens to generate
  * @param parts the prompt's parts in order; those before the last are shared with other requests
  */
-public record PromptTerms(
+public record GenerationParameters(
     String model,
     Optional<String> adapter,
     int promptTokens,
     int outputTokens,
     List<PromptPart> parts) {
   /** Copies the list. */
-  public PromptTerms {
+  public GenerationParameters {
     parts = List.copyOf(parts);
   }
 
--- a/forwarding/src/main/java/org/agatefield/forwarding/HeldModel.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/LoadedModel.java
@@ -8,9 +8,9 @@
  * @param name the model's name
  * @param adapters the adapters of it that the runner holds
  */
-public record HeldModel(String name, Set<String> adapters) {
+public record LoadedModel(String name, Set<String> adapters) {
   /** Copies the set. */
-  public HeldModel {
+  public LoadedModel {
     adapters = Set.copyOf(adapters);
   }
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RequestAction.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RequestAction.java
@@ -44,5 +44,5 @@
   record Fail(FailureReason reason) implements Final {}
 
   /** Forget the request, since its caller has left. Immutable. */
-  record Forget() implements Final {}
+  record Discard() implements Final {}
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RequestTerms.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RequestMetadata.java
@@ -13,11 +13,11 @@
  * @param tokenUsage the tokens that the request names, if it does
  * @param key the digest of the key that identifies the client account; empty without one
  */
-public record RequestTerms(
+public record RequestMetadata(
     String id,
     OptionalLong deadlineMilliseconds,
     Optional<String> lastEventId,
-    Optional<PromptTerms> prompt,
+    Optional<GenerationParameters> prompt,
     Optional<TokenUsage> tokenUsage,
     Optional<KeyDigest> key) {
   /**
--- a/forwarding/src/main/java/org/agatefield/forwarding/ReturnAdvice.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RetryDelay.java
@@ -6,11 +6,11 @@
  * <p>Answers the load of callers that return before anything has changed and are refused again, and
  * of those that wait although another instance could take them at once. Stateless.
  */
-public final class ReturnAdvice {
+public final class RetryDelay {
   private static final long SHORTEST_MILLISECONDS = 400; // about one load from host memory
   private static final long OTHER_INSTANCE_MILLISECONDS = 100; // others take requests at once
 
-  private ReturnAdvice() {}
+  private RetryDelay() {}
 
   /**
    * Returns how many milliseconds a caller should stay away.
--- a/forwarding/src/main/java/org/agatefield/forwarding/Route.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/Route.java
@@ -38,11 +38,11 @@
   }
 
   /** Returns how its requests may be repeated. */
-  public Repetition repetition() {
+  public RetryMode retryMode() {
     return switch (kind) {
-      case IDEMPOTENT -> Repetition.WHOLE;
-      case NON_IDEMPOTENT -> Repetition.NEVER;
-      case STREAM -> resumable ? Repetition.RESUME : Repetition.NEVER;
+      case IDEMPOTENT -> RetryMode.RESTART;
+      case NON_IDEMPOTENT -> RetryMode.NEVER;
+      case STREAM -> resumable ? RetryMode.RESUME : RetryMode.NEVER;
     };
   }
 
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerCandidate.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerCandidate.java
@@ -7,10 +7,10 @@
  * @param distance where it lies, seen from this instance
  * @param running requests at it, of all instances as far as known
  * @param slots requests that it runs at once
- * @param unreadPromptTokens prompt tokens that it has yet to read for requests before this one
+ * @param pendingPrefillTokens prompt tokens that it has yet to read for requests before this one
  * @param millisecondsPerToken how long it lately took to read a prompt token
  * @param millisecondsPerRequest how long it lately took for a whole plain request
- * @param newPromptTokens prompt tokens of this request that it would have to read
+ * @param uncachedPromptTokens prompt tokens of this request that it would have to read
  * @param adapterPresent whether it has the adapter that the request needs, or none is needed
  */
 public record RunnerCandidate(
@@ -18,19 +18,19 @@
     Distance distance,
     int running,
     int slots,
-    double unreadPromptTokens,
+    double pendingPrefillTokens,
     double millisecondsPerToken,
     double millisecondsPerRequest,
-    double newPromptTokens,
+    double uncachedPromptTokens,
     boolean adapterPresent) {
   /** Returns how long the prompts that stand before the answer, this one's included, take. */
-  public double readingMilliseconds() {
-    return (unreadPromptTokens + newPromptTokens) * millisecondsPerToken;
+  public double prefillMilliseconds() {
+    return (pendingPrefillTokens + uncachedPromptTokens) * millisecondsPerToken;
   }
 
   /** Returns how long the prompts of requests before this one take. */
   public double backlogMilliseconds() {
-    return unreadPromptTokens * millisecondsPerToken;
+    return pendingPrefillTokens * millisecondsPerToken;
   }
 
   /** Where a runner lies, seen from an instance. */
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerChoice.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerChooser.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** Chooses a runner for a request. Implementations are confined to one thread. */
-public interface RunnerChoice {
+public interface RunnerChooser {
   /** Returns the chosen runner; empty only if there are no candidates. */
   Optional<RunnerCandidate> choose(List<RunnerCandidate> candidates);
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerEntry.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerEntry.java
@@ -10,7 +10,7 @@
  * What a runner says of itself in the platform's list. Immutable.
  *
  * @param id the runner's identifier; used again by a runner that starts again
- * @param bornMilliseconds the wall-clock time of its start; tells two lives of one id apart
+ * @param startTimeMilliseconds the wall-clock time of its start; tells two lives of one id apart
  * @param service the service that it serves
  * @param address where it listens
  * @param failureDomain the name of its failure domain
@@ -23,14 +23,14 @@
  */
 public record RunnerEntry(
     String id,
-    long bornMilliseconds,
+    long startTimeMilliseconds,
     String service,
     Address address,
     String failureDomain,
     int slots,
     boolean draining,
     OptionalLong remainingMilliseconds,
-    Optional<List<HeldModel>> models,
+    Optional<List<LoadedModel>> models,
     Set<String> inHostMemory,
     Set<String> onDisk) {
   /** Copies the collections. */
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
@@ -5,17 +5,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.agatefield.forwarding.PromptTerms.PromptPart;
+import org.agatefield.forwarding.GenerationParameters.PromptPart;
 
 /**
  * What is known of the work at each runner: this instance's own, and what neighbours tell.
  *
  * <p>Invariant: own counts return to zero when every attempt has ended. What a neighbour told is
- * dropped once it is older than {@link #NEIGHBOUR_AGE_MILLISECONDS}. Confined to one thread.
+ * dropped once it is older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Confined to one thread.
  */
 public final class RunnerLoads {
   /** How long what a neighbour told counts; it is told again several times in that time. */
-  public static final long NEIGHBOUR_AGE_MILLISECONDS = 1_000;
+  public static final long MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS = 1_000;
 
   private static final double SMOOTHING = 0.15;
   // An H100 reads a prompt of a 32-billion model at some 19 tokens a millisecond.
@@ -31,10 +31,10 @@
 
   private static final class OwnLoad {
     private int running;
-    private int unreadTokens;
+    private int pendingPrefillTokens;
     private double millisecondsPerToken = INITIAL_MILLISECONDS_PER_TOKEN;
     private double millisecondsPerRequest = INITIAL_MILLISECONDS_PER_REQUEST;
-    private final Map<String, Boolean> keptParts =
+    private final Map<String, Boolean> recordCachedParts =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1;
 
@@ -49,27 +49,27 @@
    * Work at one runner. Immutable.
    *
    * @param running requests
-   * @param unreadTokens prompt tokens of requests that have not begun
+   * @param pendingPrefillTokens prompt tokens of requests that have not begun
    */
-  public record Share(int running, int unreadTokens) {
-    Share plus(Share other) {
-      return new Share(running + other.running, unreadTokens + other.unreadTokens);
+  public record Load(int running, int pendingPrefillTokens) {
+    Load plus(Load other) {
+      return new Load(running + other.running, pendingPrefillTokens + other.pendingPrefillTokens);
     }
   }
 
-  private record NeighbourLoad(Map<String, Share> shares, long atMilliseconds) {}
+  private record NeighbourLoad(Map<String, Load> shares, long atMilliseconds) {}
 
   /** Records that a request was sent. */
-  public void sent(String runner, int newPromptTokens) {
+  public void sent(String runner, int uncachedPromptTokens) {
     OwnLoad load = load(runner);
     load.running++;
-    load.unreadTokens += newPromptTokens;
+    load.pendingPrefillTokens += uncachedPromptTokens;
   }
 
   /** Records that the runner began to answer, or that the attempt ended before it did. */
-  public void read(String runner, int newPromptTokens) {
+  public void prefillEnded(String runner, int uncachedPromptTokens) {
     OwnLoad load = load(runner);
-    load.unreadTokens = Math.max(0, load.unreadTokens - newPromptTokens);
+    load.pendingPrefillTokens = Math.max(0, load.pendingPrefillTokens - uncachedPromptTokens);
   }
 
   /** Records that an attempt ended. */
@@ -83,7 +83,7 @@
    *
    * @param tokensAhead tokens that stood before the request, its own included
    */
-  public void measuredReading(String runner, double tokensAhead, double milliseconds) {
+  public void recordPrefillTime(String runner, double tokensAhead, double milliseconds) {
     OwnLoad load = load(runner);
     double reading = Math.max(0, milliseconds - FIRST_STEP_MILLISECONDS);
     double sample =
@@ -92,23 +92,23 @@
   }
 
   /** Learns how long a runner takes for a plain request. */
-  public void measuredRequest(String runner, double milliseconds) {
+  public void recordRequestTime(String runner, double milliseconds) {
     OwnLoad load = load(runner);
     load.millisecondsPerRequest += SMOOTHING * (milliseconds - load.millisecondsPerRequest);
   }
 
   /** Remembers the shared parts of a prompt that a runner has read. */
-  public void keptParts(String runner, PromptTerms prompt) {
+  public void recordCachedParts(String runner, GenerationParameters prompt) {
     OwnLoad load = load(runner);
     StringBuilder chain = new StringBuilder(modelKey(prompt));
     for (PromptPart part : sharedParts(prompt)) {
       chain.append('|').append(part.id());
-      load.keptParts.put(chain.toString(), Boolean.TRUE);
+      load.recordCachedParts.put(chain.toString(), Boolean.TRUE);
     }
   }
 
   /** Returns how many tokens of a prompt a runner would have to read. */
-  public int newTokens(String runner, PromptTerms prompt) {
+  public int uncachedTokens(String runner, GenerationParameters prompt) {
     OwnLoad load = own.get(runner);
     int tokens = prompt.promptTokens();
     if (load == null) {
@@ -117,7 +117,7 @@
     StringBuilder chain = new StringBuilder(modelKey(prompt));
     for (PromptPart part : sharedParts(prompt)) {
       chain.append('|').append(part.id());
-      if (!load.keptParts.containsKey(chain.toString())) {
+      if (!load.recordCachedParts.containsKey(chain.toString())) {
         break;
       }
       tokens -= part.tokens();
@@ -126,69 +126,69 @@
   }
 
   /** Takes in what a neighbour has at runners. */
-  public void heard(String neighbour, Map<String, Share> shares, long nowMilliseconds) {
+  public void updateNeighbour(String neighbour, Map<String, Load> shares, long nowMilliseconds) {
     neighbours.put(neighbour, new NeighbourLoad(Map.copyOf(shares), nowMilliseconds));
   }
 
   /** Takes in what all others have at runners, in place of what each of them told before. */
-  public void heardFromAll(String relay, Map<String, Share> shares, long nowMilliseconds) {
+  public void replaceNeighbours(String relay, Map<String, Load> shares, long nowMilliseconds) {
     neighbours.clear();
-    heard(relay, shares, nowMilliseconds);
+    updateNeighbour(relay, shares, nowMilliseconds);
   }
 
   /** Returns this instance's own work, for runners that have any. */
-  public Map<String, Share> ownShares() {
-    Map<String, Share> shares = new HashMap<>();
+  public Map<String, Load> ownLoads() {
+    Map<String, Load> shares = new HashMap<>();
     own.forEach(
         (runner, load) -> {
           if (load.running > 0) {
-            shares.put(runner, new Share(load.running, load.unreadTokens));
+            shares.put(runner, new Load(load.running, load.pendingPrefillTokens));
           }
         });
     return shares;
   }
 
   /** Returns the work of this instance and of some neighbours, for runners that have any. */
-  public Map<String, Share> sharesWith(Collection<String> neighbourIds, long nowMilliseconds) {
-    Map<String, Share> shares = ownShares();
+  public Map<String, Load> loadsWith(Collection<String> neighbourIds, long nowMilliseconds) {
+    Map<String, Load> shares = ownLoads();
     for (String id : neighbourIds) {
       NeighbourLoad load = neighbours.get(id);
-      if (load == null || nowMilliseconds - load.atMilliseconds() > NEIGHBOUR_AGE_MILLISECONDS) {
+      if (load == null || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
         continue;
       }
-      load.shares().forEach((runner, share) -> shares.merge(runner, share, Share::plus));
+      load.shares().forEach((runner, share) -> shares.merge(runner, share, Load::plus));
     }
     return shares;
   }
 
   /** Returns the work of this instance and of all that told theirs, for runners that have any. */
-  public Map<String, Share> allShares(long nowMilliseconds) {
-    return sharesWith(neighbours.keySet(), nowMilliseconds);
+  public Map<String, Load> allLoads(long nowMilliseconds) {
+    return loadsWith(neighbours.keySet(), nowMilliseconds);
   }
 
   /** Returns the work of this instance and of all others that told theirs, but for one of them. */
-  public Map<String, Share> sharesWithout(String neighbourId, long nowMilliseconds) {
+  public Map<String, Load> loadsExcept(String neighbourId, long nowMilliseconds) {
     List<String> others =
         neighbours.keySet().stream().filter(id -> !id.equals(neighbourId)).toList();
-    return sharesWith(others, nowMilliseconds);
+    return loadsWith(others, nowMilliseconds);
   }
 
   /** Returns the work at a runner, of this instance and its neighbours. */
-  public Share total(String runner, long nowMilliseconds) {
+  public Load total(String runner, long nowMilliseconds) {
     neighbours
         .values()
-        .removeIf(load -> nowMilliseconds - load.atMilliseconds() > NEIGHBOUR_AGE_MILLISECONDS);
+        .removeIf(load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
     OwnLoad mine = own.get(runner);
     int running = mine == null ? 0 : mine.running;
-    int unread = mine == null ? 0 : mine.unreadTokens;
+    int unread = mine == null ? 0 : mine.pendingPrefillTokens;
     for (NeighbourLoad load : neighbours.values()) {
-      Share share = load.shares().get(runner);
+      Load share = load.shares().get(runner);
       if (share != null) {
         running += share.running();
-        unread += share.unreadTokens();
+        unread += share.pendingPrefillTokens();
       }
     }
-    return new Share(running, unread);
+    return new Load(running, unread);
   }
 
   /** Returns how long a runner lately took to read a prompt token. */
@@ -204,18 +204,18 @@
   }
 
   /** Forgets a runner that is gone, or what it kept in an earlier life. */
-  public void forgetKeptParts(String runner) {
+  public void clearCachedParts(String runner) {
     OwnLoad load = own.get(runner);
     if (load != null) {
-      load.keptParts.clear();
+      load.recordCachedParts.clear();
     }
   }
 
-  private static String modelKey(PromptTerms prompt) {
+  private static String modelKey(GenerationParameters prompt) {
     return prompt.model() + '/' + prompt.adapter().orElse("");
   }
 
-  private static List<PromptPart> sharedParts(PromptTerms prompt) {
+  private static List<PromptPart> sharedParts(GenerationParameters prompt) {
     List<PromptPart> parts = prompt.parts();
     return parts.subList(0, Math.max(0, parts.size() - 1));
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerReport.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerReport.java
@@ -6,18 +6,18 @@
 /**
  * What a model runner answers when asked for its state; some hundred milliseconds old. Immutable.
  *
- * @param bornMilliseconds the wall-clock time of its start
+ * @param startTimeMilliseconds the wall-clock time of its start
  * @param models the models that it holds
- * @param comingAdapters adapters on their way to it, written as {@code model/adapter}
+ * @param loadingAdapters adapters on their way to it, written as {@code model/adapter}
  * @param busy whether it carries out an order for a model
  * @param acceptedOrders how many orders it accepted since its start
  * @param inHostMemory models whose weights lie in its host memory
  * @param onDisk models whose weights lie on its disk
  */
 public record RunnerReport(
-    long bornMilliseconds,
-    List<HeldModel> models,
-    Set<String> comingAdapters,
+    long startTimeMilliseconds,
+    List<LoadedModel> models,
+    Set<String> loadingAdapters,
     boolean busy,
     long acceptedOrders,
     Set<String> inHostMemory,
@@ -25,7 +25,7 @@
   /** Copies the collections. */
   public RunnerReport {
     models = List.copyOf(models);
-    comingAdapters = Set.copyOf(comingAdapters);
+    loadingAdapters = Set.copyOf(loadingAdapters);
     inHostMemory = Set.copyOf(inHostMemory);
     onDisk = Set.copyOf(onDisk);
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/BeginInTime.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/StartInTimePolicy.java
@@ -10,7 +10,7 @@
  * being made, and is refused once that would take too long. Stateless and safe for use by any
  * thread.
  */
-public final class BeginInTime implements SendPolicy {
+public final class StartInTimePolicy implements SendPolicy {
   // Beyond this backlog only short prompts could be in time, and long ones would be refused.
   private static final double BACKLOG_SHARE_OF_OBJECTIVE = 0.75;
   // A late request takes what is soon to be idle.
@@ -19,7 +19,7 @@
 
   @Override
   public Decision decide(RunnerCandidate candidate, Timing timing) {
-    double begin = candidate.readingMilliseconds();
+    double begin = candidate.prefillMilliseconds();
     double backlog = candidate.backlogMilliseconds() / timing.objectiveMilliseconds();
     boolean inTime =
         begin <= Math.min(timing.objectiveLeftMilliseconds(), timing.remainingMilliseconds())
--- a/forwarding/src/main/java/org/agatefield/forwarding/TokenQuota.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/TokenQuota.java
@@ -18,7 +18,7 @@
   }
 
   /** Returns what a request counts. */
-  public double cost(RequestTerms terms) {
+  public double cost(RequestMetadata terms) {
     if (unit == Unit.REQUESTS) {
       return 1;
     }
--- a/forwarding/src/test/java/org/agatefield/forwarding/AccountTableTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/AccountTableTest.java
@@ -11,7 +11,7 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.agatefield.forwarding.RequestTerms.TokenUsage;
+import org.agatefield.forwarding.RequestMetadata.TokenUsage;
 import org.junit.jupiter.api.Test;
 
 class AccountTableTest {
@@ -25,17 +25,17 @@
     return new ClientAccount(name, digests, OptionalInt.empty(), Optional.of(QUOTA));
   }
 
-  private static RequestTerms terms(Optional<TokenUsage> usage) {
-    return new RequestTerms(
+  private static RequestMetadata terms(Optional<TokenUsage> usage) {
+    return new RequestMetadata(
         "id", OptionalLong.empty(), Optional.empty(), Optional.empty(), usage, Optional.empty());
   }
 
   @Test
   void keyIdentifiesItsAccountAndNoOther() {
     AccountTable table = new AccountTable(List.of(account("a", "k1", "k2"), account("b", "k3")));
-    assertEquals("a", table.holderOf(KeyDigest.of("k2")).orElseThrow().name());
-    assertEquals("b", table.holderOf(KeyDigest.of("k3")).orElseThrow().name());
-    assertTrue(table.holderOf(KeyDigest.of("k4")).isEmpty());
+    assertEquals("a", table.accountFor(KeyDigest.of("k2")).orElseThrow().name());
+    assertEquals("b", table.accountFor(KeyDigest.of("k3")).orElseThrow().name());
+    assertTrue(table.accountFor(KeyDigest.of("k4")).isEmpty());
   }
 
   @Test
--- a/forwarding/src/test/java/org/agatefield/forwarding/ForwardedRequestTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/ForwardedRequestTest.java
@@ -44,13 +44,13 @@
 
   @Property(tries = 3_000, seed = "4711")
   void everyInterleavingKeepsThePromises(
-      @ForAll Repetition repetition,
+      @ForAll RetryMode retryMode,
       @ForAll("steps") List<Step> steps,
       @ForAll("attempts") int maximumAttempts,
       @ForAll boolean allowed) {
     ForwardedRequest request =
-        new ForwardedRequest(repetition, maximumAttempts, Optional.empty(), () -> allowed);
-    Trace trace = new Trace(repetition, maximumAttempts);
+        new ForwardedRequest(retryMode, maximumAttempts, Optional.empty(), () -> allowed);
+    Trace trace = new Trace(retryMode, maximumAttempts);
     trace.take(request.start());
     for (Step step : steps) {
       trace.take(apply(request, step, trace), step);
@@ -68,7 +68,7 @@
     return switch (step) {
       case CHOSEN -> request.chosen("runner-" + trace.attempt);
       case NOT_CHOSEN -> request.notChosen(RefusalReason.OVERLOADED);
-      case UNREACHED -> request.unreached(open);
+      case UNREACHED -> request.connectFailed(open);
       case REJECTED -> request.rejected(open);
       case FAILED -> request.failed(open, false);
       case FAILED_DELIVERABLE -> request.failed(open, true);
@@ -86,7 +86,7 @@
 
   /** Follows the actions and checks the invariants independently of the implementation. */
   private static final class Trace {
-    private final Repetition repetition;
+    private final RetryMode retryMode;
     private final int maximumAttempts;
     private final Set<Integer> mayHaveRun = new HashSet<>();
     private int attempt;
@@ -95,8 +95,8 @@
     private boolean over;
     private boolean streaming;
 
-    Trace(Repetition repetition, int maximumAttempts) {
-      this.repetition = repetition;
+    Trace(RetryMode retryMode, int maximumAttempts) {
+      this.retryMode = retryMode;
       this.maximumAttempts = maximumAttempts;
     }
 
@@ -117,7 +117,7 @@
 
     private void check(RequestAction action) {
       if (action instanceof RequestAction.Send send) {
-        boolean mayRepeat = repetition != Repetition.NEVER;
+        boolean mayRepeat = retryMode != RetryMode.NEVER;
         assertTrue(mayHaveRun.isEmpty() || mayRepeat, "sent again though it may have run");
         assertFalse(open, "two attempts are open");
         if (streaming) {
@@ -150,7 +150,7 @@
   @Test
   void theOnlyRunOfBookingIsNotRepeatedAfterReset() {
     ForwardedRequest request =
-        new ForwardedRequest(Repetition.NEVER, 2, Optional.empty(), () -> true);
+        new ForwardedRequest(RetryMode.NEVER, 2, Optional.empty(), () -> true);
     request.start();
     request.chosen("a");
     List<RequestAction> actions = request.failed(1, false);
@@ -160,7 +160,7 @@
   @Test
   void rejectedBookingGoesToAnotherRunner() {
     ForwardedRequest request =
-        new ForwardedRequest(Repetition.NEVER, 1, Optional.empty(), () -> true);
+        new ForwardedRequest(RetryMode.NEVER, 1, Optional.empty(), () -> true);
     request.start();
     request.chosen("a");
     assertEquals(List.of(new RequestAction.Choose(Set.of("a"))), request.rejected(1));
@@ -169,7 +169,7 @@
   @Test
   void brokenStreamGoesOnAfterItsLastEvent() {
     ForwardedRequest request =
-        new ForwardedRequest(Repetition.RESUME, 2, Optional.empty(), () -> true);
+        new ForwardedRequest(RetryMode.RESUME, 2, Optional.empty(), () -> true);
     request.start();
     request.chosen("a");
     request.event(1, Optional.of("7"));
@@ -181,7 +181,7 @@
   @Test
   void streamThatCannotGoOnIsBrokenOffRatherThanEnded() {
     ForwardedRequest request =
-        new ForwardedRequest(Repetition.NEVER, 1, Optional.empty(), () -> true);
+        new ForwardedRequest(RetryMode.NEVER, 1, Optional.empty(), () -> true);
     request.start();
     request.chosen("a");
     request.event(1, Optional.of("7"));
@@ -191,7 +191,7 @@
   @Test
   void anExpiredRequestThatWasNeverSentIsRefusedAsNotRun() {
     ForwardedRequest request =
-        new ForwardedRequest(Repetition.NEVER, 1, Optional.empty(), () -> true);
+        new ForwardedRequest(RetryMode.NEVER, 1, Optional.empty(), () -> true);
     request.start();
     assertEquals(List.of(new RequestAction.Refuse(RefusalReason.DEADLINE)), request.expired());
   }
@@ -200,7 +200,7 @@
   void withoutBudgetRejectionIsPassedOnAsRefusal() {
     List<RequestAction> actions = new ArrayList<>();
     ForwardedRequest request =
-        new ForwardedRequest(Repetition.WHOLE, 2, Optional.empty(), () -> false);
+        new ForwardedRequest(RetryMode.RESTART, 2, Optional.empty(), () -> false);
     request.start();
     request.chosen("a");
     actions.addAll(request.rejected(1));
--- a/forwarding/src/test/java/org/agatefield/forwarding/OverloadReplayTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/OverloadReplayTest.java
@@ -24,8 +24,8 @@
 
   @Test
   void holdingBackWhatCannotBeginInTimeServesMoreThanSendingAll() {
-    int held = servedInTime(new BeginInTime());
-    int sent = servedInTime(new SendAlways());
+    int held = servedInTime(new StartInTimePolicy());
+    int sent = servedInTime(new AlwaysSendPolicy());
     assertTrue(held >= 2 * sent, "held back: " + held + " in time, all sent: " + sent);
   }
 
@@ -33,12 +33,12 @@
   void anIdleRunnerGetsEveryRequest() {
     RunnerCandidate idle = candidate(0, MEAN_TOKENS);
     SendPolicy.Timing late = new SendPolicy.Timing(OBJECTIVE, 0, DEADLINE);
-    assertTrue(new BeginInTime().decide(idle, late) == SendPolicy.Decision.SEND);
+    assertTrue(new StartInTimePolicy().decide(idle, late) == SendPolicy.Decision.SEND);
   }
 
   @Test
   void mostOfWhatIsServedUnderLastingOverloadBeginsWithinItsObjective() {
-    Outcome outcome = replay(new BeginInTime(), THRICE);
+    Outcome outcome = replay(new StartInTimePolicy(), THRICE);
     assertTrue(
         outcome.withinObjective() >= 0.75 * outcome.served(),
         outcome.withinObjective() + " of " + outcome.served() + " within the objective");
@@ -46,7 +46,7 @@
 
   @Test
   void largePromptsAreServedAtLeastHalfAsOftenAsAllUnderLastingOverload() {
-    Outcome outcome = replay(new BeginInTime(), TWO_FIFTHS_OVER);
+    Outcome outcome = replay(new StartInTimePolicy(), TWO_FIFTHS_OVER);
     assertTrue(
         outcome.largeServedShare() >= 0.5 * outcome.servedShare(),
         "large " + outcome.largeServedShare() + ", all " + outcome.servedShare());
--- a/forwarding/src/test/java/org/agatefield/forwarding/ReturnAdviceTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/RetryDelayTest.java
@@ -5,16 +5,16 @@
 
 import org.junit.jupiter.api.Test;
 
-class ReturnAdviceTest {
+class RetryDelayTest {
   @Test
   void callersOfMissingModelReturnWhenItIsThere() {
-    assertEquals(2_700, ReturnAdvice.milliseconds(RefusalReason.MODEL_ABSENT, 2_700));
+    assertEquals(2_700, RetryDelay.milliseconds(RefusalReason.MODEL_ABSENT, 2_700));
   }
 
   @Test
   void callersOfBusyModelStayAwayLongerThanThoseOfInstanceThatLeaves() {
-    long busy = ReturnAdvice.milliseconds(RefusalReason.OVERLOADED, 0);
-    long leaving = ReturnAdvice.milliseconds(RefusalReason.SHUTTING_DOWN, 0);
+    long busy = RetryDelay.milliseconds(RefusalReason.OVERLOADED, 0);
+    long leaving = RetryDelay.milliseconds(RefusalReason.SHUTTING_DOWN, 0);
     assertTrue(busy > leaving);
   }
 }
--- a/forwarding/src/test/java/org/agatefield/forwarding/RunnerLoadsTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/RunnerLoadsTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.agatefield.forwarding.PromptTerms.PromptPart;
+import org.agatefield.forwarding.GenerationParameters.PromptPart;
 import org.agatefield.forwarding.RunnerCandidate.Distance;
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
 class RunnerLoadsTest {
-  private static final PromptTerms PROMPT =
-      new PromptTerms(
+  private static final GenerationParameters PROMPT =
+      new GenerationParameters(
           "m",
           Optional.empty(),
           1_000,
@@ -25,28 +25,28 @@
   @Test
   void workOfNeighboursCountsUntilItIsOld() {
     loads.sent("r", 100);
-    loads.heard("n", Map.of("r", new RunnerLoads.Share(2, 700)), 0);
-    assertEquals(new RunnerLoads.Share(3, 800), loads.total("r", 500));
-    long old = RunnerLoads.NEIGHBOUR_AGE_MILLISECONDS + 1;
-    assertEquals(new RunnerLoads.Share(1, 100), loads.total("r", old));
+    loads.updateNeighbour("n", Map.of("r", new RunnerLoads.Load(2, 700)), 0);
+    assertEquals(new RunnerLoads.Load(3, 800), loads.total("r", 500));
+    long old = RunnerLoads.MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS + 1;
+    assertEquals(new RunnerLoads.Load(1, 100), loads.total("r", old));
   }
 
   @Test
   void ownCountsReturnToZero() {
     loads.sent("r", 100);
-    loads.read("r", 100);
+    loads.prefillEnded("r", 100);
     loads.ended("r");
-    assertEquals(new RunnerLoads.Share(0, 0), loads.total("r", 0));
-    assertTrue(loads.ownShares().isEmpty());
+    assertEquals(new RunnerLoads.Load(0, 0), loads.total("r", 0));
+    assertTrue(loads.ownLoads().isEmpty());
   }
 
   @Test
   void sharedPartsThatRunnerHasReadAreNotReadAgain() {
-    assertEquals(1_000, loads.newTokens("r", PROMPT));
-    loads.keptParts("r", PROMPT);
-    assertEquals(500, loads.newTokens("r", PROMPT));
-    loads.forgetKeptParts("r");
-    assertEquals(1_000, loads.newTokens("r", PROMPT));
+    assertEquals(1_000, loads.uncachedTokens("r", PROMPT));
+    loads.recordCachedParts("r", PROMPT);
+    assertEquals(500, loads.uncachedTokens("r", PROMPT));
+    loads.clearCachedParts("r");
+    assertEquals(1_000, loads.uncachedTokens("r", PROMPT));
   }
 
   @Test
@@ -58,11 +58,11 @@
     List<RunnerCandidate> candidates = List.of(fewLarge, manySmall);
     assertEquals(
         "small",
-        new EarliestBeginChoice(RandomSource.XO_RO_SHI_RO_128_PP.create(5L))
+        new EarliestStartChooser(RandomSource.XO_RO_SHI_RO_128_PP.create(5L))
             .choose(candidates)
             .orElseThrow()
             .id());
-    assertEquals("large", new FewestRunningChoice().choose(candidates).orElseThrow().id());
+    assertEquals("large", new FewestRunningChooser().choose(candidates).orElseThrow().id());
   }
 
   @Test
@@ -73,7 +73,7 @@
         new RunnerCandidate("far", Distance.OTHER_REGION, 0, 96, 0, 0.06, 0, 500, true);
     assertEquals(
         "near",
-        new EarliestBeginChoice(RandomSource.XO_RO_SHI_RO_128_PP.create(5L))
+        new EarliestStartChooser(RandomSource.XO_RO_SHI_RO_128_PP.create(5L))
             .choose(List.of(near, far))
             .orElseThrow()
             .id());
@@ -83,11 +83,11 @@
   void theSumForOtherDomainsHoldsTheOwnPartAndFreshPartsOfTheNamedNeighboursOnly() {
     RunnerLoads loads = new RunnerLoads();
     loads.sent("r", 100);
-    loads.heard("near", Map.of("r", new RunnerLoads.Share(2, 700)), 5_000);
-    loads.heard("silent", Map.of("r", new RunnerLoads.Share(9, 900)), 1_000);
-    loads.heard("domain/other", Map.of("r", new RunnerLoads.Share(5, 500)), 5_000);
+    loads.updateNeighbour("near", Map.of("r", new RunnerLoads.Load(2, 700)), 5_000);
+    loads.updateNeighbour("silent", Map.of("r", new RunnerLoads.Load(9, 900)), 1_000);
+    loads.updateNeighbour("domain/other", Map.of("r", new RunnerLoads.Load(5, 500)), 5_000);
     assertEquals(
-        Map.of("r", new RunnerLoads.Share(3, 800)),
-        loads.sharesWith(List.of("near", "silent"), 5_100));
+        Map.of("r", new RunnerLoads.Load(3, 800)),
+        loads.loadsWith(List.of("near", "silent"), 5_100));
   }
 }
--- a/idempotency/src/main/java/org/agatefield/idempotency/Arrival.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/CallAttempt.java
@@ -7,11 +7,11 @@
  * @param bodyHash the hash of the body
  * @param deadlineNanoseconds monotonic time after which nothing is sent any more
  * @param joinUntilNanoseconds monotonic time until which another attempt's outcome is waited for
- * @param outcomeCanBeAsked whether the service tells the outcome of a key
+ * @param outcomeQueryable whether the service tells the outcome of a key
  */
-public record Arrival(
+public record CallAttempt(
     String attemptId,
     String bodyHash,
     long deadlineNanoseconds,
     long joinUntilNanoseconds,
-    boolean outcomeCanBeAsked) {}
+    boolean outcomeQueryable) {}
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimAction.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimAction.java
@@ -19,13 +19,13 @@
   record Reacquire<A>() implements ClaimAction<A> {}
 
   /** Give the chosen upstream back unused. */
-  record GiveBack<A>() implements ClaimAction<A> {}
+  record ReleaseUpstream<A>() implements ClaimAction<A> {}
 
   /** Create the claim if there is none. */
   record Create<A>() implements ClaimAction<A> {}
 
-  /** Go on with {@link ClaimEvent.Resumed} and the time of that moment. */
-  record Resume<A>() implements ClaimAction<A> {}
+  /** Go on with {@link ClaimEvent.DeadlineCheckDue} and the time of that moment. */
+  record CheckDeadline<A>() implements ClaimAction<A> {}
 
   /** Send the call; given at most once for an attempt, but for proof that nothing was sent. */
   record Send<A>() implements ClaimAction<A> {}
@@ -34,7 +34,7 @@
   record Record<A>(Claim.Outcome<A> outcome) implements ClaimAction<A> {}
 
   /** Record an answer learnt for another process's claim, if the store takes it. */
-  record RecordFor<A>(Claim<A> claim, A answer) implements ClaimAction<A> {}
+  record RecordForOther<A>(Claim<A> claim, A answer) implements ClaimAction<A> {}
 
   /** Remove the own claim, now or whenever it comes to be in the store; it is never sent for. */
   record Remove<A>() implements ClaimAction<A> {}
@@ -46,7 +46,7 @@
   record PollLater<A>() implements ClaimAction<A> {}
 
   /** Ask the service for the outcome of the key. */
-  record AskService<A>() implements ClaimAction<A> {}
+  record QueryService<A>() implements ClaimAction<A> {}
 
   /** Give the caller the whole answer. */
   record Reply<A>(A answer) implements ClaimAction<A> {}
@@ -55,5 +55,5 @@
   record Refuse<A>(ErrorKind kind, RunState runState, String reason) implements ClaimAction<A> {}
 
   /** Refuse with the error that was met. */
-  record RefuseWith<A>(Throwable error) implements ClaimAction<A> {}
+  record RefuseWithError<A>(Throwable error) implements ClaimAction<A> {}
 }
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimEvent.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimEvent.java
@@ -40,7 +40,7 @@
   record CreateUnknown<A>() implements ClaimEvent<A> {}
 
   /** Time was taken between the claim and the send; the deadline is to be checked now. */
-  record Resumed<A>() implements ClaimEvent<A> {}
+  record DeadlineCheckDue<A>() implements ClaimEvent<A> {}
 
   /** The whole answer came. */
   record Answered<A>(A answer) implements ClaimEvent<A> {}
@@ -49,10 +49,10 @@
   record SendFailed<A>(RunState runState, Throwable error) implements ClaimEvent<A> {}
 
   /** The service, asked for the outcome of the key, gave the whole answer. */
-  record OutcomeLearnt<A>(A answer) implements ClaimEvent<A> {}
+  record OutcomeReceived<A>(A answer) implements ClaimEvent<A> {}
 
   /** The service could not be asked or did not know. */
-  record OutcomeNotLearnt<A>() implements ClaimEvent<A> {}
+  record OutcomeUnavailable<A>() implements ClaimEvent<A> {}
 
   /** The outcome is in the store. */
   record Recorded<A>() implements ClaimEvent<A> {}
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimProtocol.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimProtocol.java
@@ -40,7 +40,7 @@
    * @throws IllegalStateException if the event cannot happen in the state
    */
   public ClaimStep<A> next(
-      ClaimState<A> state, ClaimEvent<A> event, Arrival arrival, long nowNanoseconds) {
+      ClaimState<A> state, ClaimEvent<A> event, CallAttempt arrival, long nowNanoseconds) {
     return switch (state.phase()) {
       case READING -> afterRead(event, arrival, nowNanoseconds);
       case ACQUIRING -> afterAcquire(event);
@@ -49,16 +49,16 @@
       case HOLDING -> afterHold(arrival, nowNanoseconds);
       case SENDING -> afterSend(event, arrival);
       case REACQUIRING -> afterReacquire(event);
-      case ASKING_FOR_OWN -> afterAskForOwn(state, event);
-      case ASKING_FOR_FOUND -> afterAskForFound(state, event);
-      case CLEARING -> afterClear(event);
+      case QUERYING_OWN_OUTCOME -> afterAskForOwn(state, event);
+      case QUERYING_FOUND_OUTCOME -> afterAskForFound(state, event);
+      case REMOVING_ABANDONED -> afterClear(event);
       case WAITING -> step(Phase.READING, new ClaimAction.Read<>());
       case RECORDING -> step(Phase.DONE);
       case DONE -> throw unexpected(state, event);
     };
   }
 
-  private ClaimStep<A> afterRead(ClaimEvent<A> event, Arrival arrival, long now) {
+  private ClaimStep<A> afterRead(ClaimEvent<A> event, CallAttempt arrival, long now) {
     if (event instanceof ClaimEvent.Absent) {
       return step(Phase.ACQUIRING, new ClaimAction.Acquire<>());
     }
@@ -73,49 +73,49 @@
 
   private ClaimStep<A> afterAcquire(ClaimEvent<A> event) {
     if (event instanceof ClaimEvent.AcquireFailed<A> failed) {
-      return step(Phase.DONE, new ClaimAction.RefuseWith<>(failed.error()));
+      return step(Phase.DONE, new ClaimAction.RefuseWithError<>(failed.error()));
     }
     return step(Phase.CREATING, new ClaimAction.Create<>());
   }
 
   private ClaimStep<A> afterCreate(ClaimEvent<A> event) {
     if (event instanceof ClaimEvent.Created) {
-      return step(Phase.HOLDING, new ClaimAction.Resume<>());
+      return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
     }
     if (event instanceof ClaimEvent.CreateRejected) {
-      return step(Phase.READING, new ClaimAction.GiveBack<>(), new ClaimAction.Read<>());
+      return step(Phase.READING, new ClaimAction.ReleaseUpstream<>(), new ClaimAction.Read<>());
     }
     if (event instanceof ClaimEvent.CreateUnknown) {
       return step(Phase.READING_BACK, new ClaimAction.Read<>());
     }
     return step(
         Phase.DONE,
-        new ClaimAction.GiveBack<>(),
+        new ClaimAction.ReleaseUpstream<>(),
         storeUnavailable(RunState.NO, "the store refused the claim"));
   }
 
-  private ClaimStep<A> afterReadBack(ClaimEvent<A> event, Arrival arrival) {
+  private ClaimStep<A> afterReadBack(ClaimEvent<A> event, CallAttempt arrival) {
     if (event instanceof ClaimEvent.Found<A> found) {
       if (found.claim().attemptId().equals(arrival.attemptId())) {
-        return step(Phase.HOLDING, new ClaimAction.Resume<>());
+        return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
       }
       return prepend(
-          answerFor(found, arrival), new ClaimAction.GiveBack<>(), new ClaimAction.Remove<>());
+          answerFor(found, arrival), new ClaimAction.ReleaseUpstream<>(), new ClaimAction.Remove<>());
     }
     // The create may still take effect: sending now could follow or precede another's send.
     RunState runState = event instanceof ClaimEvent.Absent ? RunState.NO : RunState.UNKNOWN;
     return step(
         Phase.DONE,
-        new ClaimAction.GiveBack<>(),
+        new ClaimAction.ReleaseUpstream<>(),
         new ClaimAction.Remove<>(),
         storeUnavailable(runState, "the store did not confirm the claim; nothing was sent"));
   }
 
-  private ClaimStep<A> afterHold(Arrival arrival, long now) {
+  private ClaimStep<A> afterHold(CallAttempt arrival, long now) {
     if (now - arrival.deadlineNanoseconds() >= 0) {
       return step(
           Phase.DONE,
-          new ClaimAction.GiveBack<>(),
+          new ClaimAction.ReleaseUpstream<>(),
           new ClaimAction.Remove<>(),
           new ClaimAction.Refuse<>(
               ErrorKind.DEADLINE_UNREACHABLE,
@@ -125,7 +125,7 @@
     return step(Phase.SENDING, new ClaimAction.Send<>());
   }
 
-  private ClaimStep<A> afterSend(ClaimEvent<A> event, Arrival arrival) {
+  private ClaimStep<A> afterSend(ClaimEvent<A> event, CallAttempt arrival) {
     if (event instanceof ClaimEvent.Answered<A> answered) {
       return replyAndRecord(answered.answer());
     }
@@ -135,10 +135,10 @@
     if (failed.runState() == RunState.NO) {
       return step(Phase.REACQUIRING, new ClaimAction.Reacquire<>());
     }
-    if (arrival.outcomeCanBeAsked()) {
+    if (arrival.outcomeQueryable()) {
       return new ClaimStep<>(
-          new ClaimState<>(Phase.ASKING_FOR_OWN, Optional.empty(), Optional.of(failed.error())),
-          List.of(new ClaimAction.AskService<>()));
+          new ClaimState<>(Phase.QUERYING_OWN_OUTCOME, Optional.empty(), Optional.of(failed.error())),
+          List.of(new ClaimAction.QueryService<>()));
     }
     return refuseAndRecordLost(failed.error());
   }
@@ -146,13 +146,13 @@
   private ClaimStep<A> afterReacquire(ClaimEvent<A> event) {
     if (event instanceof ClaimEvent.AcquireFailed<A> failed) {
       return step(
-          Phase.DONE, new ClaimAction.Remove<>(), new ClaimAction.RefuseWith<>(failed.error()));
+          Phase.DONE, new ClaimAction.Remove<>(), new ClaimAction.RefuseWithError<>(failed.error()));
     }
-    return step(Phase.HOLDING, new ClaimAction.Resume<>());
+    return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
   }
 
   private ClaimStep<A> afterAskForOwn(ClaimState<A> state, ClaimEvent<A> event) {
-    if (event instanceof ClaimEvent.OutcomeLearnt<A> learnt) {
+    if (event instanceof ClaimEvent.OutcomeReceived<A> learnt) {
       return replyAndRecord(learnt.answer());
     }
     return refuseAndRecordLost(state.error().orElseThrow());
@@ -160,10 +160,10 @@
 
   private ClaimStep<A> afterAskForFound(ClaimState<A> state, ClaimEvent<A> event) {
     Claim<A> found = state.found().orElseThrow();
-    if (event instanceof ClaimEvent.OutcomeLearnt<A> learnt) {
+    if (event instanceof ClaimEvent.OutcomeReceived<A> learnt) {
       return step(
           Phase.DONE,
-          new ClaimAction.RecordFor<>(found, learnt.answer()),
+          new ClaimAction.RecordForOther<>(found, learnt.answer()),
           new ClaimAction.Reply<>(learnt.answer()));
     }
     return refuseUnknown();
@@ -183,7 +183,7 @@
    * Answers an arrival whose own claim is being removed. It must not go on: a later claim under the
    * same attempt would be removed while it is sent for.
    */
-  private ClaimStep<A> answerFor(ClaimEvent.Found<A> found, Arrival arrival) {
+  private ClaimStep<A> answerFor(ClaimEvent.Found<A> found, CallAttempt arrival) {
     boolean same = found.claim().bodyHash().equals(arrival.bodyHash());
     if (same && found.claim().outcome().isEmpty()) {
       return inProgress();
@@ -191,7 +191,7 @@
     return judge(found, arrival, arrival.joinUntilNanoseconds());
   }
 
-  private ClaimStep<A> judge(ClaimEvent.Found<A> found, Arrival arrival, long now) {
+  private ClaimStep<A> judge(ClaimEvent.Found<A> found, CallAttempt arrival, long now) {
     Claim<A> claim = found.claim();
     if (!claim.bodyHash().equals(arrival.bodyHash())) {
       return refuse(
@@ -206,7 +206,7 @@
           .orElseGet(() -> askOrRefuse(claim, arrival));
     }
     if (found.holderState() == HolderState.ABANDONED) {
-      return step(Phase.CLEARING, new ClaimAction.RemoveFound<>(claim));
+      return step(Phase.REMOVING_ABANDONED, new ClaimAction.RemoveFound<>(claim));
     }
     if (now - arrival.joinUntilNanoseconds() < 0) {
       return step(Phase.WAITING, new ClaimAction.PollLater<>());
@@ -222,13 +222,13 @@
         ErrorKind.KEY_IN_PROGRESS, RunState.UNKNOWN, "a call with the same key is running");
   }
 
-  private ClaimStep<A> askOrRefuse(Claim<A> claim, Arrival arrival) {
-    if (!arrival.outcomeCanBeAsked()) {
+  private ClaimStep<A> askOrRefuse(Claim<A> claim, CallAttempt arrival) {
+    if (!arrival.outcomeQueryable()) {
       return refuseUnknown();
     }
     return new ClaimStep<>(
-        new ClaimState<>(Phase.ASKING_FOR_FOUND, Optional.of(claim), Optional.empty()),
-        List.of(new ClaimAction.AskService<>()));
+        new ClaimState<>(Phase.QUERYING_FOUND_OUTCOME, Optional.of(claim), Optional.empty()),
+        List.of(new ClaimAction.QueryService<>()));
   }
 
   private ClaimStep<A> refuseUnknown() {
@@ -248,7 +248,7 @@
   private ClaimStep<A> refuseAndRecordLost(Throwable error) {
     return step(
         Phase.RECORDING,
-        new ClaimAction.RefuseWith<>(error),
+        new ClaimAction.RefuseWithError<>(error),
         new ClaimAction.Record<>(new Claim.Outcome<>(Optional.empty())));
   }
 
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimState.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimState.java
@@ -28,13 +28,13 @@
     /** The choice of another upstream, after proof that nothing was sent to the first. */
     REACQUIRING,
     /** The service's word about the own attempt. */
-    ASKING_FOR_OWN,
+    QUERYING_OWN_OUTCOME,
     /** The service's word about another attempt. */
-    ASKING_FOR_FOUND,
+    QUERYING_FOUND_OUTCOME,
     /** The store's taking the outcome. */
     RECORDING,
     /** The removal of an abandoned claim that was found. */
-    CLEARING,
+    REMOVING_ABANDONED,
     /** The next look at another attempt's claim. */
     WAITING,
     /** Nothing: the arrival is over. */
--- a/idempotency/src/test/java/org/agatefield/idempotency/ClaimProtocolTest.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/ClaimProtocolTest.java
@@ -40,7 +40,7 @@
   @Test
   void claimOfAnotherFoundAfterLostCreateEndsTheArrival() {
     ClaimProtocol<String> protocol = new ClaimProtocol<>();
-    Arrival arrival = new Arrival("mine", "body", 1_000, 1_000, false);
+    CallAttempt arrival = new CallAttempt("mine", "body", 1_000, 1_000, false);
     Claim<String> other = new Claim<>("other", "b", "body", 0, 0, 0, Optional.empty());
     ClaimStep<String> step =
         protocol.next(
--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedArrival.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/SimulatedAttempt.java
@@ -8,7 +8,7 @@
 import org.agatefield.model.RunState;
 
 /** One arrival of the call in a process of the simulated world. Used from one thread. */
-final class SimulatedArrival {
+final class SimulatedAttempt {
   private static final Throwable NO_UPSTREAM =
       new AgatefieldException(ErrorKind.NO_UPSTREAM, "none");
   private static final Throwable BROKEN =
@@ -17,20 +17,20 @@
   private final ClaimProtocol<String> protocol = new ClaimProtocol<>();
   private final SimulatedWorld world;
   private final int process;
-  private final Arrival arrival;
+  private final CallAttempt arrival;
   private final Claim<String> claim;
   private final int sendsBefore;
   private ClaimState<String> state = ClaimState.arrived();
   private Optional<SimulatedClaimStore.Versioned> lastRead = Optional.empty();
   private boolean replied;
 
-  SimulatedArrival(SimulatedWorld world, int process) {
+  SimulatedAttempt(SimulatedWorld world, int process) {
     this.world = world;
     this.process = process;
     String attempt = process + "/" + world.random.nextInt(1_000_000);
     long joinUntil = world.now + world.random.nextInt(50);
     long deadline = world.now + 20 + world.random.nextInt(500);
-    this.arrival = new Arrival(attempt, "body", deadline, joinUntil, world.chance(0.3));
+    this.arrival = new CallAttempt(attempt, "body", deadline, joinUntil, world.chance(0.3));
     this.claim = new Claim<>(attempt, "" + process, "body", 0, 0, 0, Optional.empty());
     this.sendsBefore = world.sends;
   }
@@ -91,13 +91,13 @@
               : new ClaimEvent.Acquired<>());
     } else if (action instanceof ClaimAction.Create) {
       create();
-    } else if (action instanceof ClaimAction.Resume) {
-      later(new ClaimEvent.Resumed<>());
+    } else if (action instanceof ClaimAction.CheckDeadline) {
+      later(new ClaimEvent.DeadlineCheckDue<>());
     } else if (action instanceof ClaimAction.Send) {
       send();
     } else if (action instanceof ClaimAction.PollLater) {
       later(new ClaimEvent.PollDue<>());
-    } else if (action instanceof ClaimAction.AskService) {
+    } else if (action instanceof ClaimAction.QueryService) {
       ask();
     } else if (action instanceof ClaimAction.Record<String> write) {
       write
@@ -117,7 +117,7 @@
     } else if (action instanceof ClaimAction.RemoveFound) {
       long version = lastRead.orElseThrow().version();
       world.onWire(() -> removeFound(version));
-    } else if (action instanceof ClaimAction.RecordFor<String> write) {
+    } else if (action instanceof ClaimAction.RecordForOther<String> write) {
       long version = lastRead.orElseThrow().version();
       Claim<String> answered =
           write.claim().withOutcome(new Claim.Outcome<>(Optional.of(write.answer())));
@@ -126,7 +126,7 @@
       reply(reply.answer());
     } else if (action instanceof ClaimAction.Refuse<String> refusal) {
       refused(refusal.runState());
-    } else if (action instanceof ClaimAction.RefuseWith<String> refusal) {
+    } else if (action instanceof ClaimAction.RefuseWithError<String> refusal) {
       refused(((AgatefieldException) refusal.error()).runState());
     }
   }
@@ -214,8 +214,8 @@
     boolean knows = !world.executedAnswers.isEmpty() && world.chance(0.7);
     later(
         knows
-            ? new ClaimEvent.OutcomeLearnt<>(world.executedAnswers.get(0))
-            : new ClaimEvent.OutcomeNotLearnt<>());
+            ? new ClaimEvent.OutcomeReceived<>(world.executedAnswers.get(0))
+            : new ClaimEvent.OutcomeUnavailable<>());
   }
 
   /** Writes the outcome until the store shows it. */
--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedWorld.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/SimulatedWorld.java
@@ -116,9 +116,9 @@
     void unknown();
   }
 
-  private SimulatedArrival arrive() {
+  private SimulatedAttempt arrive() {
     int process = chance(0.5) && processes > 0 ? random.nextInt(processes) : processes++;
-    SimulatedArrival arrival = new SimulatedArrival(this, process);
+    SimulatedAttempt arrival = new SimulatedAttempt(this, process);
     inProcess(process, arrival::start);
     return arrival;
   }
--- a/lease/src/main/java/org/agatefield/lease/LeaseProtocol.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseProtocol.java
@@ -87,7 +87,7 @@
       return new LeaseDecision.Update(seen.version(), record(token));
     }
     long waited = nowNanoseconds - seen.unchangedSinceNanoseconds();
-    long patience = terms.patienceNanoseconds(lease.durationNanoseconds());
+    long patience = terms.takeoverWaitNanoseconds(lease.durationNanoseconds());
     boolean mayStillAct = !lease.holder().isEmpty() && !dead.test(lease.holder());
     if (mayStillAct && waited < patience) {
       return new LeaseDecision.Wait(patience - waited);
@@ -104,7 +104,7 @@
   public LeaseState written(
       LeaseRecord lease, String version, long sentAtNanoseconds, long nowNanoseconds) {
     LeaseGrant grant =
-        new LeaseGrant(lease.fencingToken(), sentAtNanoseconds + terms.trustedNanoseconds());
+        new LeaseGrant(lease.fencingToken(), sentAtNanoseconds + terms.grantValidityNanoseconds());
     return new LeaseState(
         Optional.of(new LeaseState.Observation(version, lease, nowNanoseconds)),
         Optional.of(grant));
--- a/lease/src/main/java/org/agatefield/lease/LeaseTerms.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseTerms.java
@@ -22,12 +22,12 @@
   }
 
   /** Returns how long a holder trusts a grant, by its own clock, from before the write was sent. */
-  long trustedNanoseconds() {
+  long grantValidityNanoseconds() {
     return durationNanoseconds - drift(durationNanoseconds);
   }
 
   /** Returns how long a challenger waits by its own clock, from when it saw the last change. */
-  long patienceNanoseconds(long holderDurationNanoseconds) {
+  long takeoverWaitNanoseconds(long holderDurationNanoseconds) {
     return holderDurationNanoseconds + drift(holderDurationNanoseconds);
   }
 
--- a/measurement/src/main/java/org/agatefield/measure/Driver.java
+++ b/measurement/src/main/java/org/agatefield/measure/Driver.java
@@ -8,7 +8,7 @@
 import org.agatefield.model.DemandSample;
 import org.agatefield.model.FailureDomain;
 import org.agatefield.model.Upstream;
-import org.agatefield.placement.LedgerRules;
+import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.routing.HomeInstances;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -161,7 +161,7 @@
 
   private void comeBack(String name) {
     fleet.ledgers.computeIfPresent(
-        name, (ignored, ledger) -> LedgerRules.restarted(ledger, ledger.bootIdentifier()));
+        name, (ignored, ledger) -> LedgerTransitions.restarted(ledger, ledger.bootIdentifier()));
     fleet.believe(name, true);
   }
 
--- a/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
+++ b/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
@@ -10,10 +10,10 @@
 import org.agatefield.model.DemandSample;
 import org.agatefield.model.Upstream;
 import org.agatefield.model.VersionId;
-import org.agatefield.placement.DrainRules;
+import org.agatefield.placement.DrainPolicy;
 import org.agatefield.placement.LedgerAges;
 import org.agatefield.placement.LedgerEntry;
-import org.agatefield.placement.LedgerRules;
+import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.placement.LedgerState;
 import org.agatefield.placement.LoadBudget;
 import org.agatefield.placement.MoveKind;
@@ -61,7 +61,7 @@
 
   private static PlacementPlanner planner(PlacementPolicy policy) {
     return new PlacementPlanner(
-        policy, new DrainRules(DRAIN_MINIMUM_NANOSECONDS, DRAIN_MAXIMUM_NANOSECONDS));
+        policy, new DrainPolicy(DRAIN_MINIMUM_NANOSECONDS, DRAIN_MAXIMUM_NANOSECONDS));
   }
 
   /** Loads every version once before the run, at no cost. */
@@ -76,7 +76,7 @@
       for (PlannedMove move : moves) {
         change(move);
         if (move.kind() == MoveKind.LOAD) {
-          update(move.upstream(), ledger -> LedgerRules.loaded(ledger, move.version()));
+          update(move.upstream(), ledger -> LedgerTransitions.loaded(ledger, move.version()));
         } else if (move.kind() == MoveKind.UNLOAD) {
           release(move.upstream(), move.version());
         }
@@ -146,13 +146,13 @@
     boolean expected =
         ledger.entry(version).map(entry -> entry.state() == LedgerState.LOADING).orElse(false);
     if (expected) {
-      update(upstream, found -> LedgerRules.loaded(found, version));
+      update(upstream, found -> LedgerTransitions.loaded(found, version));
       fleet.publishReplicas();
     }
   }
 
   private void release(String upstream, VersionId version) {
-    update(upstream, ledger -> LedgerRules.forget(LedgerRules.release(ledger, version), version));
+    update(upstream, ledger -> LedgerTransitions.forget(LedgerTransitions.release(ledger, version), version));
     fleet.publishReplicas();
   }
 
@@ -183,7 +183,7 @@
   }
 
   private static RunnerLedger restarted(RunnerLedger ledger, Runner runner) {
-    return LedgerRules.restarted(ledger, runner.bootIdentifier());
+    return LedgerTransitions.restarted(ledger, runner.bootIdentifier());
   }
 
   private static RunnerLedger withBoot(RunnerLedger ledger, Runner runner) {
--- a/measurement/src/main/java/org/agatefield/measure/slopes/MemoryGroup.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/MemoryGroup.java
@@ -192,7 +192,7 @@
       transmit(member, send);
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       deaths += changed.update().liveness() == Liveness.DEAD ? 1 : 0;
-    } else if (action instanceof MembershipAction.GenerationHeard heard
+    } else if (action instanceof MembershipAction.GenerationObserved heard
         && heard.generation() > member.generation) {
       member.generation = heard.generation();
       byAddress.get(heard.holder().peerAddress()).requestsServed++;
--- a/measurement/src/main/java/org/agatefield/measure/slopes/SocketNode.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/SocketNode.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.agatefield.daemon.core.ConfigurationSink;
 import org.agatefield.daemon.core.ConfigurationSource;
-import org.agatefield.daemon.peers.PeerDuty;
+import org.agatefield.daemon.peers.PeerCoordinator;
 import org.agatefield.model.Address;
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.model.DemandSample;
@@ -22,7 +22,7 @@
 final class SocketNode implements ConfigurationSource, ConfigurationSink, AutoCloseable {
   private final List<Consumer<ConfigurationDocument>> listeners = new CopyOnWriteArrayList<>();
   private final MetricRegistry metrics = new MetricRegistry();
-  private final PeerDuty duty;
+  private final PeerCoordinator duty;
   private ConfigurationDocument document = ConfigurationDocument.empty();
   private volatile long adoptedNanoseconds;
 
@@ -39,7 +39,7 @@
       demand.add(new DemandSample("model-" + model, domain.region(), 1, 0, 0.1));
     }
     duty =
-        new PeerDuty(
+        new PeerCoordinator(
             self,
             seeds,
             Optional.empty(),
@@ -52,7 +52,7 @@
     duty.join();
   }
 
-  PeerDuty duty() {
+  PeerCoordinator duty() {
     return duty;
   }
 
--- a/membership/src/main/java/org/agatefield/membership/DomainRelays.java
+++ b/membership/src/main/java/org/agatefield/membership/DomainRelays.java
@@ -29,11 +29,11 @@
   private final Instance self;
   private final Set<String> answering;
   private final List<Instance> neighbours = new ArrayList<>();
-  private final List<Instance> direct = new ArrayList<>();
+  private final List<Instance> directPeers = new ArrayList<>();
   private final List<Instance> relays = new ArrayList<>();
   private final List<Instance> sources = new ArrayList<>();
   private final boolean large;
-  private final boolean speaks;
+  private final boolean representsDomain;
 
   /**
    * Computes who speaks for whom.
@@ -62,8 +62,8 @@
           .limit(MOST_SOURCES)
           .forEach(sources::add);
     }
-    this.speaks = sources.isEmpty();
-    if (large && speaks) {
+    this.representsDomain = sources.isEmpty();
+    if (large && representsDomain) {
       addSourcesOfRegion(domains);
     }
   }
@@ -87,7 +87,7 @@
     }
     List<Instance> able = members.stream().filter(this::mayRelay).toList();
     if (members.size() <= LARGEST_DIRECT_DOMAIN || able.isEmpty()) {
-      direct.addAll(members);
+      directPeers.addAll(members);
     } else {
       relays.add(able.get(0));
     }
@@ -103,8 +103,8 @@
   }
 
   /** Returns the instances of other failure domains that no relay speaks for. */
-  public List<Instance> direct() {
-    return List.copyOf(direct);
+  public List<Instance> directPeers() {
+    return List.copyOf(directPeers);
   }
 
   /** Returns the relays of other failure domains. */
@@ -121,12 +121,12 @@
   }
 
   /** Returns whether this instance's failure domain has a relay. */
-  public boolean isDomainLarge() {
+  public boolean domainHasRelay() {
     return large;
   }
 
   /** Returns whether this instance speaks for its failure domain, or for itself only. */
-  public boolean speaks() {
-    return speaks;
+  public boolean representsDomain() {
+    return representsDomain;
   }
 }
--- a/membership/src/main/java/org/agatefield/membership/LocalHealth.java
+++ b/membership/src/main/java/org/agatefield/membership/LocalHealth.java
@@ -21,7 +21,7 @@
     score = Math.max(0, score - 1);
   }
 
-  long stretch(long milliseconds) {
+  long scale(long milliseconds) {
     return milliseconds * (1 + score);
   }
 
--- a/membership/src/main/java/org/agatefield/membership/Membership.java
+++ b/membership/src/main/java/org/agatefield/membership/Membership.java
@@ -21,7 +21,7 @@
   private final MemberTable table = new MemberTable();
   private final GossipQueue queue = new GossipQueue();
   private final LocalHealth health;
-  private final TargetChoice targets;
+  private final TargetSelector targets;
   private final Schedule schedule;
   private final Prober prober;
   private final StateExchange exchange;
@@ -42,7 +42,7 @@
     this.settings = settings;
     this.self = new MemberUpdate(self, 0, Liveness.ALIVE);
     this.health = new LocalHealth(settings.maximumHealthScore());
-    this.targets = new TargetChoice(self, settings.remoteShare(), random);
+    this.targets = new TargetSelector(self, settings.remoteShare(), random);
     this.schedule = new Schedule(settings, random, now);
     this.prober = new Prober(settings, table, health, targets);
     this.exchange = new StateExchange(settings, table, targets);
@@ -226,7 +226,7 @@
   private void hearGeneration(MembershipMessage message, Outbox outbox) {
     if (message.generation() > generation) {
       outbox.actions.add(
-          new MembershipAction.GenerationHeard(message.sender().instance(), message.generation()));
+          new MembershipAction.GenerationObserved(message.sender().instance(), message.generation()));
     }
   }
 
--- a/membership/src/main/java/org/agatefield/membership/MembershipAction.java
+++ b/membership/src/main/java/org/agatefield/membership/MembershipAction.java
@@ -26,5 +26,5 @@
    * @param holder who has it
    * @param generation the generation
    */
-  record GenerationHeard(Instance holder, long generation) implements MembershipAction {}
+  record GenerationObserved(Instance holder, long generation) implements MembershipAction {}
 }
--- a/membership/src/main/java/org/agatefield/membership/MembershipSettings.java
+++ b/membership/src/main/java/org/agatefield/membership/MembershipSettings.java
@@ -5,7 +5,7 @@
  *
  * @param tickMilliseconds how often the member gets a tick
  * @param probeIntervalMilliseconds one member is probed in each such interval
- * @param probeTimeoutMilliseconds how long a direct probe may take before relays are asked
+ * @param probeTimeoutMilliseconds how long a directPeers probe may take before relays are asked
  * @param indirectProbes relays that are asked
  * @param maximumRelays indirect probes that are relayed at once for others
  * @param suspicionMultiplier a suspicion lasts this many probe intervals times the decimal
@@ -71,7 +71,7 @@
    * Returns these settings with other bounds for finding the dead.
    *
    * @param probeInterval milliseconds between probes
-   * @param probeTimeout milliseconds that a direct probe may take
+   * @param probeTimeout milliseconds that a directPeers probe may take
    * @param suspicion probe intervals that a suspicion lasts, at ten members or fewer
    */
   public MembershipSettings withProbes(long probeInterval, long probeTimeout, int suspicion) {
@@ -103,7 +103,7 @@
    * @param multiplier each piece of news is sent this many times the binary logarithm of the number
    *     of members
    */
-  public MembershipSettings withSpread(int updates, int multiplier) {
+  public MembershipSettings withGossip(int updates, int multiplier) {
     return new MembershipSettings(
         tickMilliseconds,
         probeIntervalMilliseconds,
--- a/membership/src/main/java/org/agatefield/membership/Probing.java
+++ b/membership/src/main/java/org/agatefield/membership/OpenProbes.java
@@ -13,7 +13,7 @@
  * <p>Invariant: at most one own probe is open, and at most the given number of relayed ones. Not
  * safe for use by several threads.
  */
-final class Probing {
+final class OpenProbes {
   private final Map<Long, Relay> relays = new HashMap<>();
   private long lastSequence;
   private Own own;
--- a/membership/src/main/java/org/agatefield/membership/Prober.java
+++ b/membership/src/main/java/org/agatefield/membership/Prober.java
@@ -12,10 +12,10 @@
   private final MembershipSettings settings;
   private final MemberTable table;
   private final LocalHealth health;
-  private final TargetChoice targets;
-  private final Probing probing = new Probing();
+  private final TargetSelector targets;
+  private final OpenProbes probing = new OpenProbes();
 
-  Prober(MembershipSettings settings, MemberTable table, LocalHealth health, TargetChoice targets) {
+  Prober(MembershipSettings settings, MemberTable table, LocalHealth health, TargetSelector targets) {
     this.settings = settings;
     this.table = table;
     this.health = health;
@@ -31,24 +31,24 @@
     if (target.isEmpty()) {
       return;
     }
-    long relayDeadline = now + health.stretch(settings.probeTimeoutMilliseconds());
+    long relayDeadline = now + health.scale(settings.probeTimeoutMilliseconds());
     long deadline =
-        now + health.stretch(settings.probeIntervalMilliseconds()) - settings.tickMilliseconds();
-    Probing.Own own = probing.open(target.get(), relayDeadline, deadline);
+        now + health.scale(settings.probeIntervalMilliseconds()) - settings.tickMilliseconds();
+    OpenProbes.Own own = probing.open(target.get(), relayDeadline, deadline);
     outbox.sendTo(target.get(), new MembershipMessage.Probe(own.sequence(), target.get().id()));
   }
 
   void tick(long now, Membership.Outbox outbox) {
     probing.relaysDue(now).ifPresent(own -> askRelays(own, outbox));
     probing.failed(now).ifPresent(own -> fail(own, now, outbox));
-    for (Probing.Relay relay : probing.failedRelays(now)) {
+    for (OpenProbes.Relay relay : probing.failedRelays(now)) {
       MembershipMessage.Body body =
           new MembershipMessage.Acknowledgement(relay.requestSequence(), false);
       outbox.send(relay.requester(), body);
     }
   }
 
-  private void askRelays(Probing.Own own, Membership.Outbox outbox) {
+  private void askRelays(OpenProbes.Own own, Membership.Outbox outbox) {
     List<MemberUpdate> relays = targets.relays(table, own.target(), settings.indirectProbes());
     Address address = own.target().instance().peerAddress();
     probing.relaysAsked(relays.size());
@@ -58,13 +58,13 @@
     }
   }
 
-  private void fail(Probing.Own own, long now, Membership.Outbox outbox) {
+  private void fail(OpenProbes.Own own, long now, Membership.Outbox outbox) {
     if (own.relaysMissing()) {
       health.worsen();
     }
     String id = own.target().id();
     long suspicion = settings.suspicionMilliseconds(table.presentCount() + 1);
-    if (table.suspect(id, now + health.stretch(suspicion))) {
+    if (table.suspect(id, now + health.scale(suspicion))) {
       table.get(id).map(MemberTable.Entry::update).ifPresent(outbox::changed);
     }
   }
@@ -86,8 +86,8 @@
       MembershipMessage.IndirectProbe indirect,
       long now,
       Membership.Outbox outbox) {
-    Probing.Relay relay =
-        new Probing.Relay(
+    OpenProbes.Relay relay =
+        new OpenProbes.Relay(
             requester.instance().peerAddress(),
             indirect.sequence(),
             now + settings.probeTimeoutMilliseconds());
@@ -104,7 +104,7 @@
       health.improve();
       return;
     }
-    Optional<Probing.Relay> relay =
+    Optional<OpenProbes.Relay> relay =
         acknowledgement.reached()
             ? probing.relayAcknowledged(acknowledgement.sequence())
             : Optional.empty();
--- a/membership/src/main/java/org/agatefield/membership/Schedule.java
+++ b/membership/src/main/java/org/agatefield/membership/Schedule.java
@@ -30,7 +30,7 @@
     if (now < nextProbe) {
       return false;
     }
-    nextProbe = now + health.stretch(settings.probeIntervalMilliseconds());
+    nextProbe = now + health.scale(settings.probeIntervalMilliseconds());
     return true;
   }
 
--- a/membership/src/main/java/org/agatefield/membership/StateExchange.java
+++ b/membership/src/main/java/org/agatefield/membership/StateExchange.java
@@ -18,9 +18,9 @@
 
   private final MembershipSettings settings;
   private final MemberTable table;
-  private final TargetChoice targets;
+  private final TargetSelector targets;
 
-  StateExchange(MembershipSettings settings, MemberTable table, TargetChoice targets) {
+  StateExchange(MembershipSettings settings, MemberTable table, TargetSelector targets) {
     this.settings = settings;
     this.table = table;
     this.targets = targets;
--- a/membership/src/main/java/org/agatefield/membership/TargetChoice.java
+++ b/membership/src/main/java/org/agatefield/membership/TargetSelector.java
@@ -15,14 +15,14 @@
  * <p>Probes go through a shuffled list, so that every member is probed once in each round. Not safe
  * for use by several threads.
  */
-final class TargetChoice {
+final class TargetSelector {
   private final Instance self;
   private final double remoteShare;
   private final UniformRandomProvider random;
   private final Deque<String> localRound = new ArrayDeque<>();
   private final Deque<String> remoteRound = new ArrayDeque<>();
 
-  TargetChoice(Instance self, double remoteShare, UniformRandomProvider random) {
+  TargetSelector(Instance self, double remoteShare, UniformRandomProvider random) {
     this.self = self;
     this.remoteShare = remoteShare;
     this.random = random;
--- a/membership/src/test/java/org/agatefield/membership/DomainRelaysTest.java
+++ b/membership/src/test/java/org/agatefield/membership/DomainRelaysTest.java
@@ -36,7 +36,7 @@
       Instance sender, List<Instance> alive, List<Instance> answering, Map<String, Integer> got) {
     DomainRelays relays = new DomainRelays(sender, alive, answering);
     relays.neighbours().forEach(each -> got.merge(each.id(), 1, Integer::sum));
-    relays.direct().forEach(each -> got.merge(each.id(), 1, Integer::sum));
+    relays.directPeers().forEach(each -> got.merge(each.id(), 1, Integer::sum));
     for (Instance relay : relays.relays()) {
       got.merge(relay.id(), 1, Integer::sum);
       new DomainRelays(relay, alive, answering)
@@ -53,14 +53,14 @@
       DomainRelays relays = new DomainRelays(self, all, all);
       assertTrue(relays.sources().isEmpty());
       assertTrue(relays.relays().isEmpty());
-      assertTrue(relays.speaks());
+      assertTrue(relays.representsDomain());
     }
   }
 
   @Test
   void oneInstanceOfLargeFailureDomainSpeaksForIt() {
     List<Instance> all = domain("a", 9);
-    assertEquals(1, all.stream().filter(self -> new DomainRelays(self, all, all).speaks()).count());
+    assertEquals(1, all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
   }
 
   @Test
@@ -71,7 +71,7 @@
     List<Instance> watching =
         all.stream().filter(self -> new DomainRelays(self, all, all).sources().isEmpty()).toList();
     assertEquals(List.of(all.get(0)), watching);
-    assertEquals(3, all.stream().filter(self -> new DomainRelays(self, all, all).speaks()).count());
+    assertEquals(3, all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
   }
 
   @Test
@@ -119,9 +119,9 @@
       for (Instance source : relays.sources()) {
         assertTrue(source.id().compareTo(each.id()) < 0);
         assertEquals(each.failureDomain().region(), source.failureDomain().region());
-        assertEquals(relays.speaks(), !each.failureDomain().equals(source.failureDomain()));
-        if (relays.speaks()) {
-          assertTrue(new DomainRelays(source, alive, answering).speaks());
+        assertEquals(relays.representsDomain(), !each.failureDomain().equals(source.failureDomain()));
+        if (relays.representsDomain()) {
+          assertTrue(new DomainRelays(source, alive, answering).representsDomain());
         }
       }
     }
--- a/membership/src/test/java/org/agatefield/membership/SimulatedGroup.java
+++ b/membership/src/test/java/org/agatefield/membership/SimulatedGroup.java
@@ -203,7 +203,7 @@
       transmit(node, send);
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       note(node, changed.update());
-    } else if (action instanceof MembershipAction.GenerationHeard heard) {
+    } else if (action instanceof MembershipAction.GenerationObserved heard) {
       node.generationHeard = Math.max(node.generationHeard, heard.generation());
       schedule(now + 1, node, new MembershipEvent.GenerationRaised(heard.generation()));
     }
--- a/peer/src/main/java/org/agatefield/peer/ForwardingCodec.java
+++ b/peer/src/main/java/org/agatefield/peer/ForwardingCodec.java
@@ -132,7 +132,7 @@
     PeerProtocol.RunnerNotice.Builder builder =
         PeerProtocol.RunnerNotice.newBuilder()
             .setRunner(notice.runner())
-            .setBornMilliseconds(notice.bornMilliseconds())
+            .setBornMilliseconds(notice.startTimeMilliseconds())
             .setQuietMilliseconds((int) notice.quietMilliseconds());
     notice.leavingAgeMilliseconds().ifPresent(age -> builder.setLeavingAgeMilliseconds((int) age));
     return builder.build();
--- a/peer/src/main/java/org/agatefield/peer/PeerMessage.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerMessage.java
@@ -216,13 +216,13 @@
    * Tells what a runner said of itself in an answer. Immutable.
    *
    * @param runner the runner's identifier
-   * @param bornMilliseconds the wall-clock time of its start
+   * @param startTimeMilliseconds the wall-clock time of its start
    * @param leavingAgeMilliseconds how long ago it said that it leaves; empty if it did not
    * @param quietMilliseconds how long it still wants no requests; 0 if it takes them
    */
   record RunnerNotice(
       String runner,
-      long bornMilliseconds,
+      long startTimeMilliseconds,
       OptionalLong leavingAgeMilliseconds,
       long quietMilliseconds)
       implements PeerMessage {}
--- a/placement/src/main/java/org/agatefield/placement/DemandReplicaPolicy.java
+++ b/placement/src/main/java/org/agatefield/placement/DemandReplicaPolicy.java
@@ -21,8 +21,8 @@
   @Override
   public List<ReplicaMove> plan(
       List<EngineView> engines,
-      List<ModelSize> models,
-      Map<String, DemandBook.Demand> demands,
+      List<ModelProfile> models,
+      Map<String, DemandTracker.Demand> demands,
       int storeLoads) {
     ReplicaDraft draft = new ReplicaDraft(engines, models, demands);
     List<ReplicaMove> moves = new ArrayList<>();
--- a/placement/src/main/java/org/agatefield/placement/DemandBook.java
+++ b/placement/src/main/java/org/agatefield/placement/DemandTracker.java
@@ -12,7 +12,7 @@
  * within a second or two. What an instance has waiting and running is dropped when it falls silent.
  * Confined to one thread.
  */
-public final class DemandBook {
+public final class DemandTracker {
   private static final double MEMORY_MILLISECONDS = 2_000; // demand moves within a second or two
   private static final long REPORT_AGE_MILLISECONDS = 1_500; // several reports long
 
--- a/placement/src/main/java/org/agatefield/placement/WantedVersion.java
+++ b/placement/src/main/java/org/agatefield/placement/DesiredVersion.java
@@ -16,10 +16,10 @@
  * @param minimumReplicas runners that it must lie on
  * @param share its part of the deployment's requests, above 0 and at most 1
  */
-record WantedVersion(VersionId version, ReplicaSize size, int minimumReplicas, double share) {
+record DesiredVersion(VersionId version, ReplicaSize size, int minimumReplicas, double share) {
   /** Returns every version with a weight above 0, the largest first. */
-  static List<WantedVersion> of(ConfigurationDocument configuration) {
-    List<WantedVersion> wanted = new ArrayList<>();
+  static List<DesiredVersion> of(ConfigurationDocument configuration) {
+    List<DesiredVersion> wanted = new ArrayList<>();
     for (Deployment deployment : configuration.deployments()) {
       double weights =
           deployment.versions().stream().mapToInt(DeploymentVersion::weight).asLongStream().sum();
@@ -27,7 +27,7 @@
         if (version.weight() > 0) {
           VersionId id = new VersionId(deployment.name(), version.name());
           wanted.add(
-              new WantedVersion(
+              new DesiredVersion(
                   id,
                   ReplicaSize.of(configuration, id),
                   deployment.minimumReplicas(),
@@ -36,7 +36,7 @@
       }
     }
     wanted.sort(
-        Comparator.comparingLong((WantedVersion each) -> each.size().totalMegabytes())
+        Comparator.comparingLong((DesiredVersion each) -> each.size().totalMegabytes())
             .reversed()
             .thenComparing(each -> each.version().engineName()));
     return wanted;
--- a/placement/src/main/java/org/agatefield/placement/DrainRules.java
+++ b/placement/src/main/java/org/agatefield/placement/DrainPolicy.java
@@ -13,12 +13,12 @@
  * @param minimumNanoseconds how long every instance needs to learn that a replica drains
  * @param maximumNanoseconds how long requests that run there may take to end
  */
-public record DrainRules(long minimumNanoseconds, long maximumNanoseconds) {
+public record DrainPolicy(long minimumNanoseconds, long maximumNanoseconds) {
   /** Adds to the draft what becomes of each draining replica. */
   void apply(PlacementDraft draft) {
     Set<VersionId> wanted =
-        WantedVersion.of(draft.input().configuration()).stream()
-            .map(WantedVersion::version)
+        DesiredVersion.of(draft.input().configuration()).stream()
+            .map(DesiredVersion::version)
             .collect(Collectors.toSet());
     for (RunnerView view : draft.availableRunners()) {
       for (LedgerEntry entry : draft.ledger(view).entries()) {
--- a/placement/src/main/java/org/agatefield/placement/EngineView.java
+++ b/placement/src/main/java/org/agatefield/placement/EngineView.java
@@ -12,7 +12,7 @@
  * @param held the models that it holds or that an unanswered order may still load
  * @param inHostMemory models whose weights lie in its host memory
  * @param onDisk models whose weights lie on its disk
- * @param orderable whether it can take an order now
+ * @param acceptsOrders whether it can take an order now
  */
 public record EngineView(
     String id,
@@ -22,7 +22,7 @@
     Set<String> held,
     Set<String> inHostMemory,
     Set<String> onDisk,
-    boolean orderable) {
+    boolean acceptsOrders) {
   /** Copies the sets. */
   public EngineView {
     held = Set.copyOf(held);
--- a/placement/src/main/java/org/agatefield/placement/GainPlacement.java
+++ b/placement/src/main/java/org/agatefield/placement/GainPlacement.java
@@ -74,14 +74,14 @@
   }
 
   private void addReplica(PlacementDraft draft) {
-    List<WantedVersion> byGain =
-        WantedVersion.of(draft.input().configuration()).stream()
+    List<DesiredVersion> byGain =
+        DesiredVersion.of(draft.input().configuration()).stream()
             .sorted(
                 Comparator.comparingDouble(
-                        (WantedVersion each) -> gain(draft, each, replicas(draft, each)))
+                        (DesiredVersion each) -> gain(draft, each, replicas(draft, each)))
                     .reversed())
             .toList();
-    for (WantedVersion version : byGain) {
+    for (DesiredVersion version : byGain) {
       double gain = gain(draft, version, replicas(draft, version));
       if (gain < settings.minimumGain()) {
         return;
@@ -97,12 +97,12 @@
     }
   }
 
-  private static int replicas(PlacementDraft draft, WantedVersion version) {
+  private static int replicas(PlacementDraft draft, DesiredVersion version) {
     return draft.current(version.version()).size();
   }
 
   /** Returns the answers in time each second and gigabyte that one replica more would gain. */
-  private double gain(PlacementDraft draft, WantedVersion version, int replicas) {
+  private double gain(PlacementDraft draft, DesiredVersion version, int replicas) {
     String deployment = version.version().deployment();
     double busy = smoothedBusy.getOrDefault(deployment, 0.0) * version.share();
     double requests = smoothedRequests.getOrDefault(deployment, 0.0) * version.share();
@@ -118,7 +118,7 @@
     return squared / (1 + squared);
   }
 
-  private Optional<RunnerView> quietestRunner(PlacementDraft draft, WantedVersion version) {
+  private Optional<RunnerView> quietestRunner(PlacementDraft draft, DesiredVersion version) {
     return draft.availableRunners().stream()
         .filter(view -> draft.fits(view, version.version(), version.size()))
         .min(
@@ -137,13 +137,13 @@
   }
 
   /** Drains replicas beyond the minimum that gain far less; returns whether it did. */
-  private boolean displace(PlacementDraft draft, WantedVersion version, double gain) {
+  private boolean displace(PlacementDraft draft, DesiredVersion version, double gain) {
     for (RunnerView view : draft.availableRunners()) {
       if (draft.entry(view, version.version()).isPresent()) {
         continue;
       }
       long missing = version.size().totalMegabytes() - draft.freeMegabytes(view);
-      Optional<WantedVersion> victim = weakest(draft, view, missing, gain);
+      Optional<DesiredVersion> victim = weakest(draft, view, missing, gain);
       if (victim.isPresent()) {
         String reason = "gains less than " + version.version();
         return draft.tryMove(MoveKind.DRAIN, view, victim.get().version(), reason);
@@ -152,9 +152,9 @@
     return false;
   }
 
-  private Optional<WantedVersion> weakest(
+  private Optional<DesiredVersion> weakest(
       PlacementDraft draft, RunnerView view, long missing, double gain) {
-    return WantedVersion.of(draft.input().configuration()).stream()
+    return DesiredVersion.of(draft.input().configuration()).stream()
         .filter(
             each ->
                 draft
--- a/placement/src/main/java/org/agatefield/placement/LedgerRules.java
+++ b/placement/src/main/java/org/agatefield/placement/LedgerTransitions.java
@@ -12,11 +12,11 @@
  * <p>Every method fails with {@link IllegalStateException} if the change would break an invariant
  * of the ledger.
  */
-public final class LedgerRules {
+public final class LedgerTransitions {
   /** Order tokens of one lease grant; the grant's own token stands above these bits. */
   private static final int SEQUENCE_BITS = 24;
 
-  private LedgerRules() {}
+  private LedgerTransitions() {}
 
   /** Returns the ledger as taken over by the planner with that lease token. */
   public static RunnerLedger takeOver(RunnerLedger ledger, long memoryMegabytes, long leaseToken) {
@@ -109,7 +109,7 @@
   }
 
   /** Gives the version a new order to load it, because the engine lost it or refused the last. */
-  public static RunnerLedger loadAgain(RunnerLedger ledger, VersionId version) {
+  public static RunnerLedger renewLoadOrder(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(
         entry.state() == LedgerState.LOADING || entry.isLoaded(), ledger, version + " is going");
@@ -126,7 +126,7 @@
   }
 
   /** Gives the version requests again; no order to unload it was sent. */
-  public static RunnerLedger serveAgain(RunnerLedger ledger, VersionId version) {
+  public static RunnerLedger resumeServing(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(entry.state() == LedgerState.DRAINING, ledger, version + " is not draining");
     return replace(ledger, entry.withState(LedgerState.SERVING));
--- a/placement/src/main/java/org/agatefield/placement/RunnerShares.java
+++ b/placement/src/main/java/org/agatefield/placement/LoadDistribution.java
@@ -10,13 +10,13 @@
  *
  * <p>Work is in engines: 1 keeps one engine busy. Confined to one thread.
  */
-final class RunnerShares {
+final class LoadDistribution {
   private static final int ROUNDS = 3; // further rounds change little
 
   private final double[] load;
   private final Map<String, double[]> parts = new HashMap<>();
 
-  private RunnerShares(int engines) {
+  private LoadDistribution(int engines) {
     this.load = new double[engines];
   }
 
@@ -25,9 +25,9 @@
    *
    * @param holders the engines' indices for each model
    */
-  static RunnerShares of(
+  static LoadDistribution of(
       int engines, Map<String, Double> work, Map<String, List<Integer>> holders) {
-    RunnerShares shares = new RunnerShares(engines);
+    LoadDistribution shares = new LoadDistribution(engines);
     for (int round = 0; round < ROUNDS; round++) {
       holders.forEach((model, where) -> shares.spread(model, work.getOrDefault(model, 0.0), where));
     }
--- a/placement/src/main/java/org/agatefield/placement/LoadOnDemandPlacement.java
+++ b/placement/src/main/java/org/agatefield/placement/LoadOnDemandPlacement.java
@@ -26,13 +26,13 @@
         demanded.add(sample.deployment());
       }
     }
-    List<WantedVersion> wanted = WantedVersion.of(input.configuration());
-    for (WantedVersion version : wanted) {
+    List<DesiredVersion> wanted = DesiredVersion.of(input.configuration());
+    for (DesiredVersion version : wanted) {
       if (demanded.contains(version.version().deployment())) {
         lastUsedNanoseconds.put(version.version(), input.nowNanoseconds());
       }
     }
-    for (WantedVersion version : wanted) {
+    for (DesiredVersion version : wanted) {
       boolean used = demanded.contains(version.version().deployment());
       if (used && draft.current(version.version()).isEmpty()) {
         loadOrMakeRoom(draft, version, demanded);
@@ -41,7 +41,7 @@
     return draft.moves();
   }
 
-  private void loadOrMakeRoom(PlacementDraft draft, WantedVersion version, Set<String> demanded) {
+  private void loadOrMakeRoom(PlacementDraft draft, DesiredVersion version, Set<String> demanded) {
     boolean loaded =
         ResidentReplicas.bestRunner(draft, version)
             .map(view -> draft.tryMove(MoveKind.LOAD, view, version.version(), "demand arrived"))
@@ -57,7 +57,7 @@
   }
 
   private boolean drainForRoom(
-      PlacementDraft draft, RunnerView view, WantedVersion version, Set<String> demanded) {
+      PlacementDraft draft, RunnerView view, DesiredVersion version, Set<String> demanded) {
     long missing = version.size().totalMegabytes() - freeLater(draft, view);
     if (missing <= 0) {
       return true;
@@ -83,7 +83,7 @@
   private static long freeLater(PlacementDraft draft, RunnerView view) {
     return draft.freeMegabytes(view)
         + draft.ledger(view).entries().stream()
-            .filter(each -> DrainRules.leavingStates().contains(each.state()))
+            .filter(each -> DrainPolicy.leavingStates().contains(each.state()))
             .mapToLong(LedgerEntry::reservedMegabytes)
             .sum();
   }
--- a/placement/src/main/java/org/agatefield/placement/ModelSize.java
+++ b/placement/src/main/java/org/agatefield/placement/ModelProfile.java
@@ -9,7 +9,7 @@
  * @param diskLoadMilliseconds time to load it from a runner's disk
  * @param memoryLoadMilliseconds time to load it from a runner's host memory
  */
-public record ModelSize(
+public record ModelProfile(
     String name,
     double weightsMegabytes,
     double storeLoadMilliseconds,
@@ -24,7 +24,7 @@
   }
 
   /** Returns whether a runner would load it from the weight store. */
-  public boolean comesFromStore(EngineView engine) {
+  public boolean loadsFromStore(EngineView engine) {
     return !engine.inHostMemory().contains(name) && !engine.onDisk().contains(name);
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/PlacementDraft.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementDraft.java
@@ -95,7 +95,7 @@
         !view.upstream().checksFencingTokens() && ledger(view).entry(version).isPresent();
     return !lateUnloadMayArrive
         && entry(view, version).isEmpty()
-        && LedgerRules.reservationMegabytes(
+        && LedgerTransitions.reservationMegabytes(
                 ledger(view), version, size.memoryMegabytes(), size.adapters())
             <= freeMegabytes(view);
   }
--- a/placement/src/main/java/org/agatefield/placement/PlacementPlanner.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementPlanner.java
@@ -10,10 +10,10 @@
  */
 public final class PlacementPlanner {
   private final PlacementPolicy policy;
-  private final DrainRules drainRules;
+  private final DrainPolicy drainRules;
 
   /** Creates a planner. */
-  public PlacementPlanner(PlacementPolicy policy, DrainRules drainRules) {
+  public PlacementPlanner(PlacementPolicy policy, DrainPolicy drainRules) {
     this.policy = policy;
     this.drainRules = drainRules;
   }
--- a/placement/src/main/java/org/agatefield/placement/PlannedMove.java
+++ b/placement/src/main/java/org/agatefield/placement/PlannedMove.java
@@ -14,11 +14,11 @@
   /** Returns the ledger after this move; fails if the move does not fit it any more. */
   public RunnerLedger applyTo(RunnerLedger ledger, ReplicaSize size) {
     return switch (kind) {
-      case LOAD -> LedgerRules.reserve(ledger, version, size.memoryMegabytes(), size.adapters());
-      case RESERVE_ADAPTERS -> LedgerRules.reserveAdapters(ledger, version, size.adapters());
-      case DRAIN -> LedgerRules.drain(ledger, version);
-      case SERVE_AGAIN -> LedgerRules.serveAgain(ledger, version);
-      case UNLOAD -> LedgerRules.unload(ledger, version);
+      case LOAD -> LedgerTransitions.reserve(ledger, version, size.memoryMegabytes(), size.adapters());
+      case RESERVE_ADAPTERS -> LedgerTransitions.reserveAdapters(ledger, version, size.adapters());
+      case DRAIN -> LedgerTransitions.drain(ledger, version);
+      case SERVE_AGAIN -> LedgerTransitions.resumeServing(ledger, version);
+      case UNLOAD -> LedgerTransitions.unload(ledger, version);
     };
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/RunnerStep.java
+++ b/placement/src/main/java/org/agatefield/placement/ReconciliationStep.java
@@ -11,17 +11,17 @@
  * @param releasesMemory whether the ledger gives memory back
  * @param reason why, for the log
  */
-public record RunnerStep(
+public record ReconciliationStep(
     RunnerLedger ledger, Optional<PlannedOrder> order, boolean releasesMemory, String reason) {
-  static RunnerStep write(RunnerLedger ledger, String reason) {
-    return new RunnerStep(ledger, Optional.empty(), false, reason);
+  static ReconciliationStep write(RunnerLedger ledger, String reason) {
+    return new ReconciliationStep(ledger, Optional.empty(), false, reason);
   }
 
-  static RunnerStep release(RunnerLedger ledger, String reason) {
-    return new RunnerStep(ledger, Optional.empty(), true, reason);
+  static ReconciliationStep release(RunnerLedger ledger, String reason) {
+    return new ReconciliationStep(ledger, Optional.empty(), true, reason);
   }
 
-  static RunnerStep order(RunnerLedger ledger, PlannedOrder order, String reason) {
-    return new RunnerStep(ledger, Optional.of(order), false, reason);
+  static ReconciliationStep order(RunnerLedger ledger, PlannedOrder order, String reason) {
+    return new ReconciliationStep(ledger, Optional.of(order), false, reason);
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/ReplicaDraft.java
+++ b/placement/src/main/java/org/agatefield/placement/ReplicaDraft.java
@@ -43,11 +43,11 @@
   record Scored(ReplicaMove move, int engine, double gain) {}
 
   /** A model that an engine might load, before that is evaluated. */
-  private record Option(ModelSize model, int engine, double estimate) {}
+  private record Option(ModelProfile model, int engine, double estimate) {}
 
   private final List<EngineView> engines;
-  private final Map<String, ModelSize> sizes = new HashMap<>();
-  private final Map<String, DemandBook.Demand> demands;
+  private final Map<String, ModelProfile> sizes = new HashMap<>();
+  private final Map<String, DemandTracker.Demand> demands;
   private final Map<String, Double> work = new HashMap<>();
   private final List<Set<String>> held = new ArrayList<>();
   private final Set<Integer> ordered = new HashSet<>();
@@ -55,7 +55,7 @@
   private int evaluations;
 
   ReplicaDraft(
-      List<EngineView> engines, List<ModelSize> models, Map<String, DemandBook.Demand> demands) {
+      List<EngineView> engines, List<ModelProfile> models, Map<String, DemandTracker.Demand> demands) {
     this.engines = engines;
     this.demands = demands;
     models.forEach(model -> sizes.put(model.name(), model));
@@ -65,7 +65,7 @@
         holders.computeIfAbsent(model, ignored -> new ArrayList<>()).add(index);
       }
     }
-    for (ModelSize model : models) {
+    for (ModelProfile model : models) {
       double tokens = demandFor(model.name()).tokensPerSecond();
       work.put(model.name(), tokens * model.weightsMegabytes() * ENGINES_PER_TOKEN_AND_MEGABYTE);
     }
@@ -77,7 +77,7 @@
   }
 
   Optional<Scored> best(int storeLoads) {
-    RunnerShares shares = shares();
+    LoadDistribution shares = shares();
     double before = cost(shares);
     Scored best = null;
     for (Option option : promising(shares, storeLoads)) {
@@ -95,15 +95,15 @@
     add(scored.move().load(), scored.engine());
   }
 
-  private List<Option> promising(RunnerShares shares, int storeLoads) {
+  private List<Option> promising(LoadDistribution shares, int storeLoads) {
     List<Option> options = new ArrayList<>();
-    for (ModelSize model : sizes.values()) {
+    for (ModelProfile model : sizes.values()) {
       if (!isAskedFor(model.name())) {
         continue;
       }
       Replicas replicas = replicas(model.name(), shares);
       for (int index = 0; index < engines.size(); index++) {
-        if (!engines.get(index).orderable()
+        if (!engines.get(index).acceptsOrders()
             || ordered.contains(index)
             || held.get(index).contains(model.name())
             || !mayLoad(model, index, storeLoads)) {
@@ -120,16 +120,16 @@
     return options.size() > evaluated ? options.subList(0, evaluated) : options;
   }
 
-  private boolean mayLoad(ModelSize model, int index, int storeLoads) {
+  private boolean mayLoad(ModelProfile model, int index, int storeLoads) {
     boolean served = !holders.getOrDefault(model.name(), List.of()).isEmpty();
     int storeLoadsKept = served ? STORE_LOADS_KEPT : 0;
-    return !model.comesFromStore(engines.get(index)) || storeLoads > storeLoadsKept;
+    return !model.loadsFromStore(engines.get(index)) || storeLoads > storeLoadsKept;
   }
 
   /** How many replicas of a model share its work, and the load up to which they are filled. */
   private record Replicas(int count, double level) {}
 
-  private Replicas replicas(String model, RunnerShares shares) {
+  private Replicas replicas(String model, LoadDistribution shares) {
     List<Integer> where = holders.getOrDefault(model, List.of());
     double level = where.stream().mapToDouble(shares::load).min().orElse(0);
     int count =
@@ -138,7 +138,7 @@
   }
 
   /** Estimates the gain of a replica, as if only the model's own work moved. */
-  private double estimate(ModelSize model, int index, Replicas replicas, double load) {
+  private double estimate(ModelProfile model, int index, Replicas replicas, double load) {
     double modelWork = work.getOrDefault(model.name(), 0.0);
     double gain;
     if (replicas.count() == 0) {
@@ -158,7 +158,7 @@
     }
     EngineView engine = engines.get(index);
     double lasting = 1 - model.loadMilliseconds(engine) / DEMAND_LASTS_MILLISECONDS;
-    double price = model.comesFromStore(engine) ? STORE_LOAD_PRICE : 0;
+    double price = model.loadsFromStore(engine) ? STORE_LOAD_PRICE : 0;
     return gain * Math.max(0, lasting) - price;
   }
 
@@ -168,9 +168,9 @@
   }
 
   private Optional<Scored> candidate(
-      ModelSize model, int index, int storeLoads, double costBefore) {
+      ModelProfile model, int index, int storeLoads, double costBefore) {
     EngineView engine = engines.get(index);
-    final boolean fromStore = model.comesFromStore(engine);
+    final boolean fromStore = model.loadsFromStore(engine);
     Optional<List<String>> victims = victims(model, index);
     if (victims.isEmpty()) {
       return Optional.empty();
@@ -193,7 +193,7 @@
   }
 
   /** Returns what must make way; empty if that makes too little room. */
-  private Optional<List<String>> victims(ModelSize model, int index) {
+  private Optional<List<String>> victims(ModelProfile model, int index) {
     EngineView engine = engines.get(index);
     double free = engine.capacityMegabytes() - engine.reservedMegabytes() - heldMegabytes(index);
     List<String> removable =
@@ -214,7 +214,7 @@
 
   /** A model that nobody has asked for just now can come back from disk before its deadline. */
   private boolean mayGiveUp(String model) {
-    DemandBook.Demand demand = demandFor(model);
+    DemandTracker.Demand demand = demandFor(model);
     boolean idle =
         demand.waiting() == 0
             && demand.running() == 0
@@ -232,12 +232,12 @@
     return perReplica + RUNNING_REQUEST_WEIGHT * runsAt(model, engine);
   }
 
-  private double cost(RunnerShares shares) {
+  private double cost(LoadDistribution shares) {
     double cost = shares.cost();
-    for (ModelSize model : sizes.values()) {
+    for (ModelProfile model : sizes.values()) {
       boolean unserved = holders.getOrDefault(model.name(), List.of()).isEmpty();
       if (unserved && isAskedFor(model.name())) {
-        DemandBook.Demand demand = demandFor(model.name());
+        DemandTracker.Demand demand = demandFor(model.name());
         cost += UNSERVED_COST_PER_ENGINE * work.getOrDefault(model.name(), 0.0);
         cost += UNSERVED_COST_PER_WAITING * demand.waiting();
       }
@@ -245,16 +245,16 @@
     return cost;
   }
 
-  private RunnerShares shares() {
-    return RunnerShares.of(engines.size(), work, holders);
+  private LoadDistribution shares() {
+    return LoadDistribution.of(engines.size(), work, holders);
   }
 
   private boolean isAskedFor(String model) {
     return demandFor(model).idleMilliseconds() < ASKED_FOR_MILLISECONDS;
   }
 
-  private DemandBook.Demand demandFor(String model) {
-    return demands.getOrDefault(model, DemandBook.Demand.NONE);
+  private DemandTracker.Demand demandFor(String model) {
+    return demands.getOrDefault(model, DemandTracker.Demand.NONE);
   }
 
   private double heldMegabytes(int index) {
@@ -262,7 +262,7 @@
   }
 
   private double weights(String model) {
-    ModelSize size = sizes.get(model);
+    ModelProfile size = sizes.get(model);
     return size == null ? Double.MAX_VALUE / 4 : size.weightsMegabytes();
   }
 
--- a/placement/src/main/java/org/agatefield/placement/ReplicaPolicy.java
+++ b/placement/src/main/java/org/agatefield/placement/ReplicaPolicy.java
@@ -12,7 +12,7 @@
    */
   List<ReplicaMove> plan(
       List<EngineView> engines,
-      List<ModelSize> models,
-      Map<String, DemandBook.Demand> demands,
+      List<ModelProfile> models,
+      Map<String, DemandTracker.Demand> demands,
       int storeLoads);
 }
--- a/placement/src/main/java/org/agatefield/placement/ResidentReplicas.java
+++ b/placement/src/main/java/org/agatefield/placement/ResidentReplicas.java
@@ -20,19 +20,19 @@
  */
 final class ResidentReplicas {
   private final PlacementDraft draft;
-  private final List<WantedVersion> wanted;
-  private final Map<VersionId, WantedVersion> byVersion = new HashMap<>();
+  private final List<DesiredVersion> wanted;
+  private final Map<VersionId, DesiredVersion> byVersion = new HashMap<>();
 
   ResidentReplicas(PlacementDraft draft) {
     this.draft = draft;
-    this.wanted = WantedVersion.of(draft.input().configuration());
+    this.wanted = DesiredVersion.of(draft.input().configuration());
     wanted.forEach(each -> byVersion.put(each.version(), each));
   }
 
   /** Adds to the draft what is missing and what is not wanted; returns whether all is resident. */
   boolean apply() {
     boolean complete = true;
-    for (WantedVersion version : wanted) {
+    for (DesiredVersion version : wanted) {
       complete &= ensure(version);
     }
     wanted.forEach(this::reserveAdapters);
@@ -40,9 +40,9 @@
     return complete;
   }
 
-  private boolean ensure(WantedVersion version) {
+  private boolean ensure(DesiredVersion version) {
     int missing = version.minimumReplicas() - draft.current(version.version()).size();
-    missing -= serveAgain(version, missing);
+    missing -= resumeServing(version, missing);
     while (missing > 0) {
       Optional<RunnerView> runner = bestRunner(draft, version);
       if (runner.isEmpty()) {
@@ -57,7 +57,7 @@
     return true;
   }
 
-  private int serveAgain(WantedVersion version, int missing) {
+  private int resumeServing(DesiredVersion version, int missing) {
     int returned = 0;
     for (RunnerView view : draft.runnersWith(version.version(), List.of(LedgerState.DRAINING))) {
       if (returned < missing) {
@@ -69,7 +69,7 @@
   }
 
   /** Returns where a further replica fits best: another region, another failure domain, free. */
-  static Optional<RunnerView> bestRunner(PlacementDraft draft, WantedVersion version) {
+  static Optional<RunnerView> bestRunner(PlacementDraft draft, DesiredVersion version) {
     Set<FailureDomain> domains = new HashSet<>();
     Set<String> regions = new HashSet<>();
     for (RunnerView view : draft.current(version.version())) {
@@ -87,7 +87,7 @@
                 .thenComparing(view -> view.upstream().name()));
   }
 
-  private void reserveAdapters(WantedVersion version) {
+  private void reserveAdapters(DesiredVersion version) {
     List<LedgerState> holding = List.of(LedgerState.LOADING, LedgerState.SERVING);
     for (RunnerView view : draft.runnersWith(version.version(), holding)) {
       LedgerEntry entry = draft.entry(view, version.version()).orElseThrow();
@@ -95,7 +95,7 @@
         continue;
       }
       long grown =
-          LedgerRules.reservationMegabytes(
+          LedgerTransitions.reservationMegabytes(
               draft.ledger(view),
               version.version(),
               version.size().memoryMegabytes(),
@@ -126,7 +126,7 @@
 
   /** Returns whether one serving replica of the version may go without harm. */
   private boolean mayDrain(VersionId version) {
-    WantedVersion known = byVersion.get(version);
+    DesiredVersion known = byVersion.get(version);
     if (known != null) {
       return draft.serving(version).size() > known.minimumReplicas();
     }
@@ -135,7 +135,7 @@
         .noneMatch(each -> draft.serving(each.version()).isEmpty());
   }
 
-  private void makeRoom(WantedVersion version) {
+  private void makeRoom(DesiredVersion version) {
     boolean underWay =
         draft.availableRunners().stream()
             .filter(view -> draft.entry(view, version.version()).isEmpty())
@@ -156,7 +156,7 @@
   private long freeLater(RunnerView view) {
     return draft.freeMegabytes(view)
         + draft.ledger(view).entries().stream()
-            .filter(each -> DrainRules.leavingStates().contains(each.state()))
+            .filter(each -> DrainPolicy.leavingStates().contains(each.state()))
             .mapToLong(LedgerEntry::reservedMegabytes)
             .sum();
   }
@@ -185,14 +185,14 @@
     return true;
   }
 
-  private void relocateForRoom(WantedVersion version) {
+  private void relocateForRoom(DesiredVersion version) {
     for (RunnerView view : draft.availableRunners()) {
       if (draft.entry(view, version.version()).isPresent()) {
         continue;
       }
       long missing = version.size().totalMegabytes() - freeLater(view);
       for (LedgerEntry entry : draft.ledger(view).entries()) {
-        WantedVersion movable = byVersion.get(entry.version());
+        DesiredVersion movable = byVersion.get(entry.version());
         boolean helps = entry.reservedMegabytes() >= missing;
         if (movable == null || !helps || entry.state() != LedgerState.SERVING) {
           continue;
--- a/placement/src/main/java/org/agatefield/placement/RunnerLedger.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerLedger.java
@@ -6,7 +6,7 @@
 
 /**
  * The memory ledger of one model runner: everything that its engine holds or may yet load by an
- * order that was ever sent. Immutable; changed by {@link LedgerRules} alone.
+ * order that was ever sent. Immutable; changed by {@link LedgerTransitions} alone.
  *
  * <p>Invariants, from one accepted ledger to the next: the reserved memory is at most {@code
  * memoryMegabytes} unless the operators lowered that; {@code plannerToken} and {@code highestToken}
--- a/placement/src/main/java/org/agatefield/placement/RunnerSteps.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
@@ -26,7 +26,7 @@
  *
  * @param quarantineNanoseconds how long an order may still take effect after it could last be sent
  */
-public record RunnerSteps(long quarantineNanoseconds) {
+public record RunnerReconciler(long quarantineNanoseconds) {
   private static final char VERSION_SEPARATOR = '@';
 
   /** What the steps are decided on. */
@@ -50,7 +50,7 @@
   }
 
   /** Returns the next step of a runner, if there is one to take. */
-  public Optional<RunnerStep> next(
+  public Optional<ReconciliationStep> next(
       RunnerLedger ledger,
       RunnerObservation observation,
       boolean checksFencingTokens,
@@ -59,27 +59,27 @@
     Scene scene = new Scene(ledger, observation, checksFencingTokens, ages, nowNanoseconds);
     return afterRestart(scene)
         .or(() -> adoption(scene))
-        .or(() -> firstOf(scene, RunnerSteps::recordLoaded))
+        .or(() -> firstOf(scene, RunnerReconciler::recordLoaded))
         .or(() -> firstOf(scene, this::finishUnloading))
-        .or(() -> firstOf(scene, RunnerSteps::replaceLost))
+        .or(() -> firstOf(scene, RunnerReconciler::replaceLost))
         .or(() -> firstOf(scene, this::unload))
-        .or(() -> firstOf(scene, RunnerSteps::load))
+        .or(() -> firstOf(scene, RunnerReconciler::load))
         .or(() -> firstOf(scene, this::forget));
   }
 
   /** Decides on one entry of a scene. */
   private interface EntryRule {
-    Optional<RunnerStep> apply(Scene scene, LedgerEntry entry);
+    Optional<ReconciliationStep> apply(Scene scene, LedgerEntry entry);
   }
 
-  private static Optional<RunnerStep> firstOf(Scene scene, EntryRule rule) {
+  private static Optional<ReconciliationStep> firstOf(Scene scene, EntryRule rule) {
     return scene.ledger().entries().stream()
         .map(entry -> rule.apply(scene, entry))
         .flatMap(Optional::stream)
         .findFirst();
   }
 
-  private static Optional<RunnerStep> afterRestart(Scene scene) {
+  private static Optional<ReconciliationStep> afterRestart(Scene scene) {
     RunnerLedger ledger = scene.ledger();
     LoadReport report = scene.report();
     if (report.bootIdentifier().equals(ledger.bootIdentifier())) {
@@ -89,19 +89,19 @@
       PlannedOrder raise =
           new PlannedOrder(
               PlannedOrder.Action.RAISE_TOKEN, new VersionId("", ""), 0, ledger.highestToken());
-      return Optional.of(RunnerStep.order(ledger, raise, "engine restarted"));
+      return Optional.of(ReconciliationStep.order(ledger, raise, "engine restarted"));
     }
-    RunnerLedger restarted = LedgerRules.restarted(ledger, report.bootIdentifier());
-    return Optional.of(RunnerStep.write(restarted, "engine restarted"));
+    RunnerLedger restarted = LedgerTransitions.restarted(ledger, report.bootIdentifier());
+    return Optional.of(ReconciliationStep.write(restarted, "engine restarted"));
   }
 
-  private static Optional<RunnerStep> adoption(Scene scene) {
-    for (String name : scene.report().versions().stream().filter(RunnerSteps::isOurs).toList()) {
+  private static Optional<ReconciliationStep> adoption(Scene scene) {
+    for (String name : scene.report().versions().stream().filter(RunnerReconciler::isOurs).toList()) {
       VersionId version = VersionId.parse(name);
       if (!hasEntry(scene, version)) {
         long unexplained = Math.max(0, scene.report().usedMegabytes() - heldMegabytes(scene));
-        RunnerLedger adopted = LedgerRules.adopt(scene.ledger(), version, unexplained);
-        return Optional.of(RunnerStep.write(adopted, version + " is held without an entry"));
+        RunnerLedger adopted = LedgerTransitions.adopt(scene.ledger(), version, unexplained);
+        return Optional.of(ReconciliationStep.write(adopted, version + " is held without an entry"));
       }
     }
     return Optional.empty();
@@ -136,20 +136,20 @@
     return held;
   }
 
-  private static Optional<RunnerStep> recordLoaded(Scene scene, LedgerEntry entry) {
+  private static Optional<ReconciliationStep> recordLoaded(Scene scene, LedgerEntry entry) {
     if (entry.state() != LedgerState.LOADING || !scene.holds(entry.version())) {
       return Optional.empty();
     }
-    RunnerLedger loaded = LedgerRules.loaded(scene.ledger(), entry.version());
-    return Optional.of(RunnerStep.write(loaded, entry.version() + " is loaded"));
+    RunnerLedger loaded = LedgerTransitions.loaded(scene.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.write(loaded, entry.version() + " is loaded"));
   }
 
-  private Optional<RunnerStep> finishUnloading(Scene scene, LedgerEntry entry) {
+  private Optional<ReconciliationStep> finishUnloading(Scene scene, LedgerEntry entry) {
     if (entry.state() != LedgerState.UNLOADING || !isProvedGone(scene, entry)) {
       return Optional.empty();
     }
-    RunnerLedger released = LedgerRules.release(scene.ledger(), entry.version());
-    return Optional.of(RunnerStep.release(released, entry.version() + " is gone"));
+    RunnerLedger released = LedgerTransitions.release(scene.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.release(released, entry.version() + " is gone"));
   }
 
   private boolean isProvedGone(Scene scene, LedgerEntry entry) {
@@ -171,28 +171,28 @@
         + quarantineNanoseconds;
   }
 
-  private static Optional<RunnerStep> replaceLost(Scene scene, LedgerEntry entry) {
+  private static Optional<ReconciliationStep> replaceLost(Scene scene, LedgerEntry entry) {
     if (!entry.isLoaded() || scene.holds(entry.version())) {
       return Optional.empty();
     }
     if (entry.state() == LedgerState.DRAINING) {
-      RunnerLedger unloading = LedgerRules.unload(scene.ledger(), entry.version());
-      return Optional.of(RunnerStep.write(unloading, entry.version() + " was lost while drained"));
+      RunnerLedger unloading = LedgerTransitions.unload(scene.ledger(), entry.version());
+      return Optional.of(ReconciliationStep.write(unloading, entry.version() + " was lost while drained"));
     }
-    RunnerLedger again = LedgerRules.loadAgain(scene.ledger(), entry.version());
-    return Optional.of(RunnerStep.write(again, entry.version() + " was lost"));
+    RunnerLedger again = LedgerTransitions.renewLoadOrder(scene.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.write(again, entry.version() + " was lost"));
   }
 
-  private Optional<RunnerStep> unload(Scene scene, LedgerEntry entry) {
+  private Optional<ReconciliationStep> unload(Scene scene, LedgerEntry entry) {
     if (entry.state() != LedgerState.UNLOADING || isWaiting(scene, entry)) {
       return Optional.empty();
     }
     RunnerLedger ledger = scene.ledger();
     if (scene.refuses(entry.orderToken())) {
-      ledger = LedgerRules.unload(ledger, entry.version());
+      ledger = LedgerTransitions.unload(ledger, entry.version());
     }
     PlannedOrder order = order(PlannedOrder.Action.UNLOAD, ledger, entry.version());
-    return Optional.of(RunnerStep.order(ledger, order, entry.version() + " is to go"));
+    return Optional.of(ReconciliationStep.order(ledger, order, entry.version() + " is to go"));
   }
 
   /** Returns whether the version was unloaded once and only the quarantine is waited for. */
@@ -204,7 +204,7 @@
         && scene.nowNanoseconds() < quarantineEndNanoseconds(scene, entry);
   }
 
-  private static Optional<RunnerStep> load(Scene scene, LedgerEntry entry) {
+  private static Optional<ReconciliationStep> load(Scene scene, LedgerEntry entry) {
     LoadReport report = scene.report();
     long unexplained = Math.max(0, report.usedMegabytes() - heldMegabytes(scene));
     long available = Math.min(report.memoryMegabytes(), scene.ledger().memoryMegabytes());
@@ -214,10 +214,10 @@
     }
     RunnerLedger ledger = scene.ledger();
     if (scene.refuses(entry.orderToken())) {
-      ledger = LedgerRules.loadAgain(ledger, entry.version());
+      ledger = LedgerTransitions.renewLoadOrder(ledger, entry.version());
     }
     PlannedOrder order = order(PlannedOrder.Action.LOAD, ledger, entry.version());
-    return Optional.of(RunnerStep.order(ledger, order, entry.version() + " is to be loaded"));
+    return Optional.of(ReconciliationStep.order(ledger, order, entry.version() + " is to be loaded"));
   }
 
   private static PlannedOrder order(
@@ -226,13 +226,13 @@
     return new PlannedOrder(action, version, entry.memoryMegabytes(), entry.orderToken());
   }
 
-  private Optional<RunnerStep> forget(Scene scene, LedgerEntry entry) {
+  private Optional<ReconciliationStep> forget(Scene scene, LedgerEntry entry) {
     long age =
         scene.ages().ageNanoseconds(scene.ledger().upstream(), entry, scene.nowNanoseconds());
     if (entry.state() != LedgerState.RETIRED || age < quarantineNanoseconds) {
       return Optional.empty();
     }
-    RunnerLedger forgotten = LedgerRules.forget(scene.ledger(), entry.version());
-    return Optional.of(RunnerStep.write(forgotten, entry.version() + " is forgotten"));
+    RunnerLedger forgotten = LedgerTransitions.forget(scene.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.write(forgotten, entry.version() + " is forgotten"));
   }
 }
--- a/placement/src/test/java/org/agatefield/placement/DemandReplicaPolicyTest.java
+++ b/placement/src/test/java/org/agatefield/placement/DemandReplicaPolicyTest.java
@@ -13,20 +13,20 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.agatefield.placement.DemandBook.Demand;
+import org.agatefield.placement.DemandTracker.Demand;
 import org.junit.jupiter.api.Test;
 
 class DemandReplicaPolicyTest {
   private static final double CAPACITY = 83_000;
   private static final double RESERVED = 320;
-  private static final ModelSize BIG_A = big("a");
-  private static final ModelSize BIG_B = big("b");
-  private static final ModelSize BIG_C = big("c");
+  private static final ModelProfile BIG_A = big("a");
+  private static final ModelProfile BIG_B = big("b");
+  private static final ModelProfile BIG_C = big("c");
 
   private final ReplicaPolicy policy = new DemandReplicaPolicy();
 
-  private static ModelSize big(String name) {
-    return new ModelSize(name, 34_300, 5_400, 1_100, 780);
+  private static ModelProfile big(String name) {
+    return new ModelProfile(name, 34_300, 5_400, 1_100, 780);
   }
 
   private static EngineView engine(String id, Set<String> held, Set<String> onDisk) {
@@ -79,14 +79,14 @@
   @Property(tries = 400, seed = "2026")
   void memoryIsNeverOverfilledAndNoModelInUseLosesItsLastReplica(@ForAll long seed) {
     Random random = new Random(seed);
-    List<ModelSize> models = new ArrayList<>();
+    List<ModelProfile> models = new ArrayList<>();
     for (int index = 0; index < 12; index++) {
       double weights = random.nextBoolean() ? 34_300 : 16_100;
-      models.add(new ModelSize("m" + index, weights, 5_400, 1_100, 780));
+      models.add(new ModelProfile("m" + index, weights, 5_400, 1_100, 780));
     }
     List<EngineView> engines = randomEngines(random, models);
     Map<String, Demand> demands = new HashMap<>();
-    for (ModelSize model : models) {
+    for (ModelProfile model : models) {
       if (random.nextInt(3) > 0) {
         demands.put(
             model.name(),
@@ -101,13 +101,13 @@
     assertMovesAreSafe(engines, models, demands, moves);
   }
 
-  private static List<EngineView> randomEngines(Random random, List<ModelSize> models) {
+  private static List<EngineView> randomEngines(Random random, List<ModelProfile> models) {
     List<EngineView> engines = new ArrayList<>();
     for (int index = 0; index < 6; index++) {
       Set<String> held = new HashSet<>();
       Set<String> onDisk = new HashSet<>();
       double used = 0;
-      for (ModelSize model : models) {
+      for (ModelProfile model : models) {
         boolean fits = used + model.weightsMegabytes() <= CAPACITY - RESERVED;
         if (fits && random.nextInt(3) == 0) {
           held.add(model.name());
@@ -124,7 +124,7 @@
 
   private static void assertMovesAreSafe(
       List<EngineView> engines,
-      List<ModelSize> models,
+      List<ModelProfile> models,
       Map<String, Demand> demands,
       List<ReplicaMove> moves) {
     Map<String, Set<String>> held = new HashMap<>();
--- a/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
+++ b/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
@@ -136,7 +136,7 @@
   private void changeConfiguration() {
     configuration = TestConfigurations.random(random, engines);
     wanted.clear();
-    WantedVersion.of(configuration).forEach(each -> wanted.add(each.version()));
+    DesiredVersion.of(configuration).forEach(each -> wanted.add(each.version()));
     resident.retainAll(wanted);
   }
 
@@ -207,7 +207,7 @@
             current.ledger().plannerToken() <= planner.token
                 && write(
                     planner,
-                    LedgerRules.takeOver(current.ledger(), engine.memoryMegabytes, planner.token));
+                    LedgerTransitions.takeOver(current.ledger(), engine.memoryMegabytes, planner.token));
       }
     }
     planner.takenOver = complete;
@@ -271,8 +271,8 @@
     if (evidence.isEmpty()) {
       return;
     }
-    RunnerSteps steps = new RunnerSteps(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
-    Optional<RunnerStep> step =
+    RunnerReconciler steps = new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
+    Optional<ReconciliationStep> step =
         steps.next(ledger, evidence.get(), engine.checksFencingTokens, planner.ages, now);
     if (step.isEmpty()) {
       return;
@@ -411,7 +411,7 @@
     PlacementInput input = new PlacementInput(configuration, views, demand, planner.ages, 3, now);
     PlacementPlanner policy =
         new PlacementPlanner(
-            new GainPlacement(new GainSettings(5, 0.001, 2)), new DrainRules(2, 10));
+            new GainPlacement(new GainSettings(5, 0.001, 2)), new DrainPolicy(2, 10));
     Set<String> changed = new HashSet<>();
     for (PlannedMove move : policy.plan(input)) {
       boolean free = !planner.works.containsKey(move.upstream()) && changed.add(move.upstream());
--- a/placement/src/test/java/org/agatefield/placement/PlacementPolicyTest.java
+++ b/placement/src/test/java/org/agatefield/placement/PlacementPolicyTest.java
@@ -121,14 +121,14 @@
   private record VersionState(RunnerLedger ledger) {
     RunnerLedger settled(PlannedMove move) {
       if (move.kind() == MoveKind.LOAD) {
-        return LedgerRules.loaded(ledger, move.version());
+        return LedgerTransitions.loaded(ledger, move.version());
       }
       if (move.kind() != MoveKind.DRAIN) {
         return ledger;
       }
       RunnerLedger released =
-          LedgerRules.release(LedgerRules.unload(ledger, move.version()), move.version());
-      return LedgerRules.forget(released, move.version());
+          LedgerTransitions.release(LedgerTransitions.unload(ledger, move.version()), move.version());
+      return LedgerTransitions.forget(released, move.version());
     }
   }
 
--- a/placement/src/test/java/org/agatefield/placement/ReplicaDraftTest.java
+++ b/placement/src/test/java/org/agatefield/placement/ReplicaDraftTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.agatefield.placement.DemandBook.Demand;
+import org.agatefield.placement.DemandTracker.Demand;
 import org.junit.jupiter.api.Test;
 
 class ReplicaDraftTest {
@@ -17,14 +17,14 @@
   private static final int MODELS = 171;
   private static final int FULL_EVALUATIONS = 70; // of some 16,000 possible moves
 
-  private static ModelSize size(int index) {
+  private static ModelProfile size(int index) {
     return index % 2 == 0
-        ? new ModelSize("m" + index, 34_300, 4_000, 1_000, 780)
-        : new ModelSize("m" + index, 16_100, 1_900, 700, 540);
+        ? new ModelProfile("m" + index, 34_300, 4_000, 1_000, 780)
+        : new ModelProfile("m" + index, 16_100, 1_900, 700, 540);
   }
 
-  private static List<ModelSize> models() {
-    List<ModelSize> models = new ArrayList<>();
+  private static List<ModelProfile> models() {
+    List<ModelProfile> models = new ArrayList<>();
     for (int index = 0; index < MODELS; index++) {
       models.add(size(index));
     }
@@ -87,7 +87,7 @@
   @Test
   void nothingIsEvaluatedWhileWorkIsEven() {
     Map<String, Demand> demands = new HashMap<>();
-    for (ModelSize model : models()) {
+    for (ModelProfile model : models()) {
       demands.put(model.name(), new Demand(10, 0.01, 0, 0, 100, Map.of()));
     }
     ReplicaDraft draft = new ReplicaDraft(engines(Map.of()), models(), demands);
--- a/placement/src/test/java/org/agatefield/placement/RunnerStepsTest.java
+++ b/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
@@ -9,21 +9,21 @@
 import org.agatefield.model.VersionId;
 import org.junit.jupiter.api.Test;
 
-class RunnerStepsTest {
+class RunnerReconcilerTest {
   private static final long QUARANTINE = 100;
   private static final VersionId VERSION = new VersionId("m", "v1");
 
-  private final RunnerSteps steps = new RunnerSteps(QUARANTINE);
+  private final RunnerReconciler steps = new RunnerReconciler(QUARANTINE);
   private final LedgerAges ages = new LedgerAges();
   private final RunnerLedger loading =
-      LedgerRules.reserve(
-          LedgerRules.restarted(RunnerLedger.empty("runner", 50), "boot"), VERSION, 20, List.of());
-  private final RunnerLedger unloading = LedgerRules.unload(loading, VERSION);
+      LedgerTransitions.reserve(
+          LedgerTransitions.restarted(RunnerLedger.empty("runner", 50), "boot"), VERSION, 20, List.of());
+  private final RunnerLedger unloading = LedgerTransitions.unload(loading, VERSION);
 
   @Test
   void memoryOfVersionsThatAreStillBeingLoadedIsNotReleasedOnReportsAlone() {
     RunnerObservation reported = observed(20, List.of(), unloading.highestToken(), 10);
-    RunnerStep step = next(unloading, reported, true, 10).orElseThrow();
+    ReconciliationStep step = next(unloading, reported, true, 10).orElseThrow();
     assertFalse(step.releasesMemory());
     assertEquals(PlannedOrder.Action.UNLOAD, step.order().orElseThrow().action());
   }
@@ -34,7 +34,7 @@
     ages.unloaded("runner", VERSION, unloading.highestToken(), 5);
     RunnerObservation reported = observed(0, List.of(), unloading.highestToken(), 10);
     assertEquals(
-        LedgerRules.release(unloading, VERSION),
+        LedgerTransitions.release(unloading, VERSION),
         next(unloading, reported, true, 10).orElseThrow().ledger());
   }
 
@@ -43,11 +43,11 @@
     ages.observe(unloading, 1);
     ages.unloaded("runner", VERSION, unloading.highestToken(), 5);
     assertEquals(Optional.empty(), next(unloading, observed(0, List.of(), 0, 90), false, 90));
-    RunnerStep again = next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
+    ReconciliationStep again = next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
     assertEquals(PlannedOrder.Action.UNLOAD, again.order().orElseThrow().action());
     ages.unloaded("runner", VERSION, unloading.highestToken(), 103);
     assertEquals(
-        LedgerRules.release(unloading, VERSION),
+        LedgerTransitions.release(unloading, VERSION),
         next(unloading, observed(0, List.of(), 0, 105), false, 105).orElseThrow().ledger());
   }
 
@@ -57,7 +57,7 @@
     assertEquals(
         PlannedOrder.Action.LOAD,
         next(loading, observed(30, List.of(), 0, 10), true, 10)
-            .flatMap(RunnerStep::order)
+            .flatMap(ReconciliationStep::order)
             .orElseThrow()
             .action());
   }
@@ -65,7 +65,7 @@
   @Test
   void enginesThatRestartedAreFirstMadeToRefuseEarlierOrders() {
     LoadReport report = new LoadReport("boot-2", 50, 0, 0, 0, List.of(), List.of(), 0);
-    RunnerStep step = next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
+    ReconciliationStep step = next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
     assertEquals(
         new PlannedOrder(
             PlannedOrder.Action.RAISE_TOKEN, new VersionId("", ""), 0, loading.highestToken()),
@@ -88,7 +88,7 @@
         askedAt);
   }
 
-  private Optional<RunnerStep> next(
+  private Optional<ReconciliationStep> next(
       RunnerLedger ledger, RunnerObservation observation, boolean checks, long now) {
     return steps.next(ledger, observation, checks, ages, now);
   }
--- a/routing/src/main/java/org/agatefield/routing/Candidate.java
+++ b/routing/src/main/java/org/agatefield/routing/Candidate.java
@@ -20,7 +20,7 @@
     boolean adapterLoaded,
     long nanosecondsPerRequest) {
   /** Returns whether the upstream has a place for one more request. */
-  public boolean hasPlace() {
+  public boolean hasCapacity() {
     return outstanding < limit;
   }
 }
--- a/routing/src/main/java/org/agatefield/routing/CrossingRule.java
+++ b/routing/src/main/java/org/agatefield/routing/CrossRegionRule.java
@@ -5,9 +5,9 @@
  *
  * @param crossingNanoseconds what a crossing is worth, latency and bytes together
  */
-public record CrossingRule(long crossingNanoseconds) {
+public record CrossRegionRule(long crossingNanoseconds) {
   /** Returns whether waiting in the own region is expected to take longer than crossing costs. */
-  public boolean isWorth(long localWaitNanoseconds) {
+  public boolean isWorthwhile(long localWaitNanoseconds) {
     return localWaitNanoseconds > crossingNanoseconds;
   }
 }
--- a/routing/src/main/java/org/agatefield/routing/LoadStretch.java
+++ b/routing/src/main/java/org/agatefield/routing/LoadSlowdown.java
@@ -7,7 +7,7 @@
  * took says little about the share of the upstream that it needs, unless it is stretched to full
  * load. Confined to one thread at a time.
  */
-public final class LoadStretch {
+public final class LoadSlowdown {
   private static final int BUCKETS = 8;
   private static final double SMOOTHING = 0.05;
   private static final double MAXIMUM_STRETCH = 8;
@@ -19,7 +19,7 @@
    *
    * @param usedShare requests at the upstream as a share of its limit
    */
-  public void measured(double usedShare, double nanosecondsPerCost) {
+  public void recordServiceTime(double usedShare, double nanosecondsPerCost) {
     int bucket = bucket(usedShare);
     double old = timePerCost[bucket];
     timePerCost[bucket] =
@@ -29,7 +29,7 @@
   /**
    * Returns by what a time at {@code usedShare} is multiplied to be that at full load, 1 or more.
    */
-  public double toFullLoad(double usedShare) {
+  public double fullLoadFactor(double usedShare) {
     double own = timePerCost[bucket(usedShare)];
     double slowest = own;
     for (double time : timePerCost) {
--- a/routing/src/main/java/org/agatefield/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/agatefield/routing/OutlierDetector.java
@@ -68,7 +68,7 @@
    * Records how long an upstream took to the first part of an answer; returns whether it is now
    * ejected because it is much slower than the median of the others.
    */
-  public boolean firstPart(String upstream, long nanoseconds, long nowNanoseconds) {
+  public boolean firstPartReceived(String upstream, long nanoseconds, long nowNanoseconds) {
     Health health = health(upstream);
     health.samples++;
     double weight = Math.max(SMOOTHING, 1.0 / health.samples);
--- a/routing/src/main/java/org/agatefield/routing/RunnerLoad.java
+++ b/routing/src/main/java/org/agatefield/routing/UpstreamLoad.java
@@ -10,7 +10,7 @@
  * half-life that passes without a new one, so that an upstream is not avoided for ever. Confined to
  * one thread at a time.
  */
-public final class RunnerLoad {
+public final class UpstreamLoad {
   private static final double SMOOTHING = 0.1;
   private static final long HALF_LIFE_NANOSECONDS = 2_000_000_000L;
   private static final int MAXIMUM_HALVINGS = 30;
@@ -35,7 +35,7 @@
   }
 
   /** Learns how long a request took that was answered whole. */
-  public void measured(long nanoseconds) {
+  public void recordServiceTime(long nanoseconds) {
     nanosecondsPerRequest += SMOOTHING * (nanoseconds - nanosecondsPerRequest);
   }
 
--- a/routing/src/test/java/org/agatefield/routing/ChooserTest.java
+++ b/routing/src/test/java/org/agatefield/routing/ChooserTest.java
@@ -85,7 +85,7 @@
 
   @Test
   void reportsOfOthersFadeAndOwnRequestsCountAtOnce() {
-    RunnerLoad load = new RunnerLoad();
+    UpstreamLoad load = new UpstreamLoad();
     load.sent();
     load.reported(9, 1, 0);
     assertEquals(10, load.outstanding(0));
--- a/routing/src/test/java/org/agatefield/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/agatefield/routing/OutlierDetectorTest.java
@@ -64,11 +64,11 @@
     OutlierDetector outliers = new OutlierDetector(SECOND);
     boolean ejected = false;
     for (int sample = 0; sample < 10; sample++) {
-      outliers.firstPart("fast", SECOND / 10, sample);
-      ejected |= outliers.firstPart("slow", 2 * SECOND, sample);
+      outliers.firstPartReceived("fast", SECOND / 10, sample);
+      ejected |= outliers.firstPartReceived("slow", 2 * SECOND, sample);
     }
     for (int sample = 10; sample < 20; sample++) {
-      ejected |= outliers.firstPart("slow", 2 * SECOND, sample);
+      ejected |= outliers.firstPartReceived("slow", 2 * SECOND, sample);
     }
     assertTrue(ejected);
     assertFalse(outliers.isEjected("fast", 21));
--- a/routing/src/test/java/org/agatefield/routing/RunnerLoadTest.java
+++ b/routing/src/test/java/org/agatefield/routing/UpstreamLoadTest.java
@@ -4,8 +4,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class RunnerLoadTest {
-  private final RunnerLoad load = new RunnerLoad();
+class UpstreamLoadTest {
+  private final UpstreamLoad load = new UpstreamLoad();
 
   @Test
   void laggingReportOfOwnRequestsIsNotTakenForRequestsOfOthers() {
