--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -57,7 +57,7 @@
   private final CompletableFuture<ServiceResponse> reply = new CompletableFuture<>();
   private final Backoff polls = new Backoff(INITIAL_POLL_DELAY, MAXIMUM_POLL_DELAY);
   private final AtomicInteger permittedSends = new AtomicInteger(1);
-  private ClaimState<ServiceResponse> state = ClaimState.arrived();
+  private ClaimState<ServiceResponse> state = ClaimState.initial();
   private Optional<Dispatch> dispatch = Optional.empty();
   private Optional<StoredClaim> lastRead = Optional.empty();
   private Optional<StoredClaim> ownClaim = Optional.empty();
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
@@ -7,7 +7,7 @@
  *
  * @param callers talks to callers
  * @param runners talks to runners
- * @param knowledge reads what lies in the store
+ * @param storedObjects reads what lies in the store
  * @param store talks to the store
  */
 public record PlatformDialect(
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/RunnerDialect.java
@@ -18,7 +18,7 @@
   boolean isLeaving(MultiMap headers);
 
   /** Returns for how long a runner that turned a request away wants nothing more; empty if not. */
-  OptionalLong quietMilliseconds(int status, MultiMap headers);
+  OptionalLong backoffMilliseconds(int status, MultiMap headers);
 
   /** Returns the path that takes orders. */
   String orderPath();
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -38,7 +38,7 @@
   @FunctionalInterface
   public interface GenerationListener {
     /** A member has a configuration of that generation. */
-    void heard(Instance holder, long generation);
+    void observed(Instance holder, long generation);
   }
 
   /**
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -23,6 +23,7 @@
 import org.agatefield.placement.PlacementPolicy;
 import org.agatefield.placement.PlannedMove;
 import org.agatefield.placement.PlannedOrder;
+import org.agatefield.placement.ReconciliationStep;
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
--- a/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
+++ b/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
@@ -31,7 +31,7 @@
   @Test
   void memoryIsReleasedOnceTheEngineUnloadedAndSawTheToken() {
     ages.observe(unloading, 1);
-    ages.unloaded("runner", VERSION, unloading.highestToken(), 5);
+    ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     RunnerObservation reported = observed(0, List.of(), unloading.highestToken(), 10);
     assertEquals(
         LedgerTransitions.release(unloading, VERSION),
@@ -41,11 +41,11 @@
   @Test
   void enginesThatIgnoreTokensAreWaitedForAndAskedToUnloadAgainAfterTheQuarantine() {
     ages.observe(unloading, 1);
-    ages.unloaded("runner", VERSION, unloading.highestToken(), 5);
+    ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     assertEquals(Optional.empty(), next(unloading, observed(0, List.of(), 0, 90), false, 90));
     ReconciliationStep again = next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
     assertEquals(PlannedOrder.Action.UNLOAD, again.order().orElseThrow().action());
-    ages.unloaded("runner", VERSION, unloading.highestToken(), 103);
+    ages.recordUnload("runner", VERSION, unloading.highestToken(), 103);
     assertEquals(
         LedgerTransitions.release(unloading, VERSION),
         next(unloading, observed(0, List.of(), 0, 105), false, 105).orElseThrow().ledger());
