--- a/admission/src/main/java/org/agatefield/admission/AdaptiveLimit.java
+++ b/admission/src/main/java/org/agatefield/admission/AdaptiveLimit.java
@@ -3,27 +3,30 @@
 import java.util.Arrays;
 
 /**
- * A limit that rises by one for each limit's worth of answers while it is used, and falls when
- * answers use up most of the time until their deadlines, or when the runner refuses requests or
- * lets them wait.
+ * Adapts the concurrency limit of a runner to its answers and load reports.
  *
- * <p>A report may catch a runner between two batches, with few running requests and many waiting
- * ones. So what it can run is taken to be the most that the last reports have shown.
+ * <p>The limit rises by one for each limit's worth of answers while it is in use. It falls when
+ * answers use up most of the time until their deadlines, when the runner refuses requests, and when
+ * requests queue inside the runner.
  *
- * <p>Invariant: stays between the given bounds. Confined to the thread that holds it.
+ * <p>A report may be taken between two batches of the runner, with few running and many waiting
+ * requests. The capacity of the runner is therefore taken to be the largest number of running
+ * requests in the last reports.
+ *
+ * <p>Invariant: the limit stays between the given bounds. Not thread safe.
  */
 public final class AdaptiveLimit implements ConcurrencyLimit {
   private static final double DECREASE_FACTOR = 0.8;
   private static final int MINIMUM_WAITING = 4;
-  private static final double WAITING_SHARE = 0.25;
+  private static final double MINIMUM_WAITING_SHARE = 0.25;
   private static final double LATE_FACTOR = 0.95;
-  private static final double LATE_SHARE = 0.8;
-  private static final double FULL_SHARE = 0.8;
-  private static final int KEPT_REPORTS = 16;
+  private static final double LATE_DEADLINE_SHARE = 0.8;
+  private static final double IN_USE_SHARE = 0.8;
+  private static final int REPORT_HISTORY = 16;
 
   private final int minimum;
   private final int maximum;
-  private final int[] lastRunning = new int[KEPT_REPORTS];
+  private final int[] lastRunning = new int[REPORT_HISTORY];
   private double limit;
   private int reports;
 
@@ -40,12 +43,12 @@
   }
 
   @Override
-  public void succeeded(int outstanding, double usedOfDeadline) {
-    if (usedOfDeadline > LATE_SHARE) {
+  public void succeeded(int outstanding, double usedDeadlineShare) {
+    if (usedDeadlineShare > LATE_DEADLINE_SHARE) {
       limit = Math.max(minimum, limit * LATE_FACTOR);
       return;
     }
-    if (outstanding >= FULL_SHARE * limit) {
+    if (outstanding >= IN_USE_SHARE * limit) {
       limit = Math.min(maximum, limit + 1 / limit);
     }
   }
@@ -57,9 +60,9 @@
 
   @Override
   public void reported(int running, int waiting) {
-    lastRunning[reports % KEPT_REPORTS] = running;
+    lastRunning[reports % REPORT_HISTORY] = running;
     reports++;
-    if (waiting < Math.max(MINIMUM_WAITING, running * WAITING_SHARE)) {
+    if (waiting < Math.max(MINIMUM_WAITING, running * MINIMUM_WAITING_SHARE)) {
       return;
     }
     int mostRunning = Arrays.stream(lastRunning).max().orElse(running);
--- a/admission/src/main/java/org/agatefield/admission/AdmissionQueue.java
+++ b/admission/src/main/java/org/agatefield/admission/AdmissionQueue.java
@@ -12,14 +12,14 @@
 import org.agatefield.model.Priority;
 
 /**
- * The requests that wait at one instance, for all targets.
+ * Queues the requests that wait at one instance, for all targets.
  *
- * <p>Invariants: neither bound is ever exceeded; a request is chosen or refused at most once, never
- * both; higher priorities go first; what is refused was never chosen. Not safe for use by several
- * threads: the embedding program holds one lock around each call.
+ * <p>Invariants: neither bound is ever exceeded; each request is selected or refused at most once,
+ * never both; higher priorities are served first. Not thread safe: the caller holds one lock around
+ * each call.
  */
 public final class AdmissionQueue implements QueueView {
-  private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(1);
+  private static final Duration QUEUE_FULL_RETRY_AFTER = Duration.ofSeconds(1);
   private static final Priority[] HIGHEST_FIRST = {
     Priority.INTERACTIVE, Priority.STANDARD, Priority.BATCH
   };
@@ -28,9 +28,9 @@
   private final SheddingPolicy shedding;
   private final SelectionOrder order;
   private final Map<Long, QueuedRequest> waiting = new HashMap<>();
-  private final Map<Priority, CallerBacklogs> all = emptyBacklogs();
+  private final Map<Priority, CallerBacklogs> byPriority = emptyBacklogs();
   private final Map<String, Map<Priority, CallerBacklogs>> byTarget = new HashMap<>();
-  private final Map<String, DrainMeter> meters = new HashMap<>();
+  private final Map<String, DrainMeter> drainMeters = new HashMap<>();
   private long waitingBytes;
   private int running;
   private long lastNanoseconds;
@@ -42,7 +42,7 @@
     this.order = order;
   }
 
-  /** Lets {@code request} wait, or refuses it or what must make room for it. */
+  /** Queues {@code request}, or refuses it; may evict waiting requests to make room for it. */
   public Offer offer(QueuedRequest request, long nowNanoseconds) {
     lastNanoseconds = nowNanoseconds;
     Optional<Refusal> refusal = shedding.onArrival(request, this, nowNanoseconds);
@@ -51,19 +51,19 @@
     }
     List<Refusal> displaced = new ArrayList<>();
     while (!fits(request)) {
-      Optional<QueuedRequest> victim = victimFor(request);
-      if (victim.isEmpty()) {
-        displaced.add(full(request));
+      Optional<QueuedRequest> evicted = evictionFor(request);
+      if (evicted.isEmpty()) {
+        displaced.add(fullRefusal(request));
         return new Offer(false, displaced);
       }
-      remove(victim.get());
-      displaced.add(full(victim.get()));
+      remove(evicted.get());
+      displaced.add(fullRefusal(evicted.get()));
     }
     add(request);
     return new Offer(true, displaced);
   }
 
-  /** Chooses the next request for a runner that has a place and can serve {@code targets}. */
+  /** Selects the next request for a runner that has a free slot and can serve {@code targets}. */
   public Selection next(String resource, Collection<String> targets, long nowNanoseconds) {
     lastNanoseconds = nowNanoseconds;
     List<Refusal> refused = new ArrayList<>();
@@ -72,7 +72,7 @@
       if (!heads.isEmpty()) {
         QueuedRequest chosen = order.choose(resource, heads);
         if (chosen.arrivalNanoseconds() < nowNanoseconds) {
-          meter(chosen.target()).departed();
+          drainMeter(chosen.target()).departed();
         }
         remove(chosen);
         return new Selection(Optional.of(chosen), refused);
@@ -91,7 +91,7 @@
     return refused;
   }
 
-  /** Removes a request whose caller has gone; returns whether it was waiting. */
+  /** Removes a request whose caller disconnected; returns whether it was waiting. */
   public boolean cancel(long id) {
     QueuedRequest request = waiting.get(id);
     if (request == null) {
@@ -104,19 +104,20 @@
   /** Records that a request for {@code target} was sent to an upstream. */
   public void started(String target) {
     running++;
-    meter(target).started();
+    drainMeter(target).started();
   }
 
-  /** Records that a request for {@code target} is no longer at an upstream. */
+  /** Records that a request for {@code target} is no longer in flight at an upstream. */
   public void finished(String target) {
     running = Math.max(0, running - 1);
-    meter(target).finished();
+    drainMeter(target).finished();
   }
 
-  /** Learns how long a request took that was answered whole. */
-  public void recordServiceTime(String target, double cost, long serviceNanoseconds, long nowNanoseconds) {
+  /** Records the service time of a request that was answered completely. */
+  public void recordServiceTime(
+      String target, double cost, long serviceNanoseconds, long nowNanoseconds) {
     lastNanoseconds = nowNanoseconds;
-    meter(target).recordServiceTime(cost, serviceNanoseconds, nowNanoseconds);
+    drainMeter(target).recordServiceTime(cost, serviceNanoseconds, nowNanoseconds);
   }
 
   /** Returns the number of waiting requests. */
@@ -124,12 +125,12 @@
     return waiting.size();
   }
 
-  /** Returns the bytes that waiting requests hold. */
+  /** Returns the total size of the bodies of the waiting requests, in bytes. */
   public long bytes() {
     return waitingBytes;
   }
 
-  /** Returns one waiting request of each target that requests wait for. */
+  /** Returns one waiting request for each target that has any. */
   public List<QueuedRequest> oneRequestPerTarget() {
     List<QueuedRequest> found = new ArrayList<>(byTarget.size());
     for (Map<Priority, CallerBacklogs> backlogs : byTarget.values()) {
@@ -141,18 +142,20 @@
     return found;
   }
 
-  /** Returns the expected time until all that wait for {@code target} have left the queue. */
+  /**
+   * Returns the expected time until all requests waiting for {@code target} have left the queue.
+   */
   public long expectedDrainNanoseconds(String target) {
     int count = 0;
     for (CallerBacklogs backlogs : backlogsOf(target).values()) {
       count += backlogs.size();
     }
-    return meter(target).expectedDrainNanoseconds(count, running);
+    return drainMeter(target).expectedDrainNanoseconds(count, running);
   }
 
-  /** Returns the number of requests for {@code target} that are at upstreams. */
+  /** Returns the number of requests for {@code target} in flight at upstreams. */
   public int running(String target) {
-    return meter(target).running();
+    return drainMeter(target).running();
   }
 
   @Override
@@ -166,16 +169,19 @@
 
   @Override
   public long expectedWaitNanoseconds(QueuedRequest request) {
-    return meter(request.target()).expectedDrainNanoseconds(requestsBefore(request), running);
+    return drainMeter(request.target()).expectedDrainNanoseconds(requestsAhead(request), running);
   }
 
   @Override
   public long expectedServiceNanoseconds(QueuedRequest request) {
-    return meter(request.target()).expectedServiceNanoseconds(request.cost(), lastNanoseconds);
+    return drainMeter(request.target()).expectedServiceNanoseconds(request.cost(), lastNanoseconds);
   }
 
-  /** Fairness bounds what goes before: others get at most their weights' share meanwhile. */
-  private double requestsBefore(QueuedRequest request) {
+  /**
+   * Estimates how many requests are served before this one. Fair queueing bounds this number: in
+   * the meantime, other callers are served at most in proportion to their weights.
+   */
+  private double requestsAhead(QueuedRequest request) {
     Map<Priority, CallerBacklogs> backlogs = backlogsOf(request.target());
     double higher = 0;
     for (Priority priority : HIGHEST_FIRST) {
@@ -225,53 +231,56 @@
     return waiting.size() < bounds.requests() && waitingBytes + request.bytes() <= bounds.bytes();
   }
 
-  private Optional<QueuedRequest> victimFor(QueuedRequest request) {
+  private Optional<QueuedRequest> evictionFor(QueuedRequest request) {
     for (int position = HIGHEST_FIRST.length - 1; position >= 0; position--) {
       Priority priority = HIGHEST_FIRST[position];
       if (priority.compareTo(request.priority()) > 0) {
         return Optional.empty();
       }
-      Optional<QueuedRequest> victim = all.get(priority).lastOfLargestBacklog();
-      if (victim.isPresent() && priority.compareTo(request.priority()) < 0) {
-        return victim;
+      Optional<QueuedRequest> evicted = byPriority.get(priority).lastOfLargestBacklog();
+      if (evicted.isPresent() && priority.compareTo(request.priority()) < 0) {
+        return evicted;
       }
-      if (victim.isPresent()) {
-        return victim.filter(last -> load(last, 0) > load(request, 1));
+      if (evicted.isPresent()) {
+        return evicted.filter(last -> weightedBacklog(last, 0) > weightedBacklog(request, 1));
       }
     }
     return Optional.empty();
   }
 
-  private double load(QueuedRequest request, int joining) {
-    int own = all.get(request.priority()).sizeOf(request.caller()) + joining;
+  private double weightedBacklog(QueuedRequest request, int joining) {
+    int own = byPriority.get(request.priority()).sizeOf(request.caller()) + joining;
     return (double) own / request.weight();
   }
 
-  private Refusal full(QueuedRequest request) {
-    CallerBacklogs same = all.get(request.priority());
+  private Refusal fullRefusal(QueuedRequest request) {
+    CallerBacklogs same = byPriority.get(request.priority());
     int own = same.sizeOf(request.caller());
     double share = same.size() * request.weight() / same.totalWeightWith(request);
     if (own > share && same.size() > own) {
       return new Refusal(
-          request, ErrorKind.OVER_FAIR_SHARE, FULL_RETRY_AFTER, "over the caller's fair share");
+          request,
+          ErrorKind.OVER_FAIR_SHARE,
+          QUEUE_FULL_RETRY_AFTER,
+          "over the caller's fair share");
     }
-    return new Refusal(request, ErrorKind.OVERLOADED, FULL_RETRY_AFTER, "the queue is full");
+    return new Refusal(request, ErrorKind.OVERLOADED, QUEUE_FULL_RETRY_AFTER, "the queue is full");
   }
 
   private void add(QueuedRequest request) {
     waiting.put(request.id(), request);
-    all.get(request.priority()).add(request);
+    byPriority.get(request.priority()).add(request);
     byTarget
         .computeIfAbsent(request.target(), ignored -> emptyBacklogs())
         .get(request.priority())
         .add(request);
     waitingBytes += request.bytes();
-    meter(request.target()).observe(true, lastNanoseconds);
+    drainMeter(request.target()).observe(true, lastNanoseconds);
   }
 
   private void remove(QueuedRequest request) {
     waiting.remove(request.id());
-    all.get(request.priority()).remove(request);
+    byPriority.get(request.priority()).remove(request);
     Map<Priority, CallerBacklogs> backlogs = byTarget.get(request.target());
     backlogs.get(request.priority()).remove(request);
     waitingBytes -= request.bytes();
@@ -279,7 +288,7 @@
     if (empty) {
       byTarget.remove(request.target());
     }
-    meter(request.target()).observe(!empty, lastNanoseconds);
+    drainMeter(request.target()).observe(!empty, lastNanoseconds);
   }
 
   private Map<Priority, CallerBacklogs> backlogsOf(String target) {
@@ -287,8 +296,8 @@
     return backlogs == null ? emptyBacklogs() : backlogs;
   }
 
-  private DrainMeter meter(String target) {
-    return meters.computeIfAbsent(target, ignored -> new DrainMeter());
+  private DrainMeter drainMeter(String target) {
+    return drainMeters.computeIfAbsent(target, ignored -> new DrainMeter());
   }
 
   private static Map<Priority, CallerBacklogs> emptyBacklogs() {
--- a/admission/src/main/java/org/agatefield/admission/ArrivalOrder.java
+++ b/admission/src/main/java/org/agatefield/admission/ArrivalOrder.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Serves what came first, whoever sent it: the baseline. Immutable. */
+/** Serves requests in order of arrival, regardless of the caller; used as a baseline. Immutable. */
 public final class ArrivalOrder implements SelectionOrder {
   private static final Comparator<QueuedRequest> BY_ARRIVAL =
       Comparator.comparingLong(QueuedRequest::arrivalNanoseconds)
--- a/admission/src/main/java/org/agatefield/admission/BoundedQueueShedding.java
+++ b/admission/src/main/java/org/agatefield/admission/BoundedQueueShedding.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import org.agatefield.model.ErrorKind;
 
-/** Refuses what finds a full queue: the usual baseline. Immutable. */
+/**
+ * Refuses requests that arrive while the queue of their target is full; used as a baseline.
+ * Immutable.
+ */
 public final class BoundedQueueShedding implements SheddingPolicy {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -13,7 +16,7 @@
   /**
    * Creates the policy.
    *
-   * @param maximumWaiting most requests that wait for one target
+   * @param maximumWaiting the maximum number of requests waiting for one target
    */
   public BoundedQueueShedding(int maximumWaiting) {
     this.maximumWaiting = maximumWaiting;
--- a/admission/src/main/java/org/agatefield/admission/CallerBacklogs.java
+++ b/admission/src/main/java/org/agatefield/admission/CallerBacklogs.java
@@ -9,9 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * Waiting requests of one priority, by caller, those with the earliest deadline first.
+ * Holds the waiting requests of one priority by caller, each caller's ordered by deadline.
  *
- * <p>Invariant: holds no caller without a request. Confined to the thread that holds the queue.
+ * <p>Invariant: has no entry for a caller without waiting requests. Not thread safe; guarded by the
+ * lock of the queue.
  */
 final class CallerBacklogs {
   private static final Comparator<QueuedRequest> BY_DEADLINE =
@@ -50,7 +51,7 @@
     return backlog == null ? 0 : backlog.size();
   }
 
-  /** Returns some request. */
+  /** Returns an arbitrary waiting request. */
   Optional<QueuedRequest> first() {
     return byCaller.values().stream().findFirst().map(TreeSet::first);
   }
@@ -62,7 +63,10 @@
     return heads;
   }
 
-  /** Returns the sum of the weights of the callers that wait, {@code joining} included. */
+  /**
+   * Returns the sum of the weights of all callers with waiting requests, including the caller of
+   * {@code joining}.
+   */
   double totalWeightWith(QueuedRequest joining) {
     double total = joining.weight();
     for (Map.Entry<String, TreeSet<QueuedRequest>> entry : byCaller.entrySet()) {
@@ -73,7 +77,10 @@
     return total;
   }
 
-  /** Returns the last request of the caller that holds most places for its weight. */
+  /**
+   * Returns the request with the latest deadline of the caller whose backlog is largest relative to
+   * its weight.
+   */
   Optional<QueuedRequest> lastOfLargestBacklog() {
     QueuedRequest last = null;
     double largest = 0;
--- a/admission/src/main/java/org/agatefield/admission/ConcurrencyLimit.java
+++ b/admission/src/main/java/org/agatefield/admission/ConcurrencyLimit.java
@@ -1,22 +1,27 @@
 package org.agatefield.admission;
 
-/** How many requests one runner gets at once. Confined to the thread that holds it. */
+/** Limits the number of requests in flight at one runner. Not thread safe. */
 public interface ConcurrencyLimit {
   /** Returns the limit, 1 or more. */
   int limit();
 
   /**
-   * Learns from an answered request.
+   * Adjusts the limit to a request that was answered.
    *
-   * @param outstanding requests that the runner had when the answer ended
-   * @param usedOfDeadline time from sending to the whole answer as a share of the time from arrival
-   *     to the deadline
+   * @param outstanding requests in flight at the runner when the answer ended
+   * @param usedDeadlineShare time from sending to the complete answer, as a share of the time from
+   *     arrival to the deadline
    */
-  void succeeded(int outstanding, double usedOfDeadline);
+  void succeeded(int outstanding, double usedDeadlineShare);
 
-  /** Learns that the runner refused a request because it is overloaded. */
+  /** Adjusts the limit after the runner refused a request because it is overloaded. */
   void rejected();
 
-  /** Learns from a load report how many requests wait inside the runner. */
+  /**
+   * Adjusts the limit to a load report.
+   *
+   * @param running requests that the runner is executing
+   * @param waiting requests queued inside the runner
+   */
   void reported(int running, int waiting);
 }
--- a/admission/src/main/java/org/agatefield/admission/DeadlineShedding.java
+++ b/admission/src/main/java/org/agatefield/admission/DeadlineShedding.java
@@ -7,9 +7,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Refuses at once what is not expected to finish before its deadline, and tells when to come back.
+ * Refuses requests that are not expected to finish before their deadline and computes when to
+ * retry.
  *
- * <p>Invariant: nothing is started after its deadline. Confined to the thread that holds the queue.
+ * <p>Invariant: no request is started after its deadline. Not thread safe; guarded by the lock of
+ * the queue.
  */
 public final class DeadlineShedding implements SheddingPolicy {
   private static final long MINIMUM_RETRY_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(100);
@@ -18,7 +20,7 @@
 
   private final UniformRandomProvider random;
 
-  /** Creates the policy; {@code random} spreads the times at which callers come back. */
+  /** Creates the policy; {@code random} adds jitter to the retry delays. */
   public DeadlineShedding(UniformRandomProvider random) {
     this.random = random;
   }
--- a/admission/src/main/java/org/agatefield/admission/DecayingRate.java
+++ b/admission/src/main/java/org/agatefield/admission/DecayingRate.java
@@ -2,38 +2,39 @@
 
 import java.util.concurrent.TimeUnit;
 
-/**
- * The rate of events, each weighing less the longer ago it was. Confined to one thread at a time.
- */
+/** Measures an exponentially decaying rate of events. Not thread safe. */
 public final class DecayingRate {
   private final double timeConstantNanoseconds;
   private double weight;
   private long lastNanoseconds;
-  private boolean used;
+  private boolean initialized;
 
-  /** Creates a rate of 0 whose events count e times less after {@code timeConstantNanoseconds}. */
+  /**
+   * Creates a rate of 0; the weight of an event falls by a factor of e within {@code
+   * timeConstantNanoseconds}.
+   */
   public DecayingRate(long timeConstantNanoseconds) {
     this.timeConstantNanoseconds = timeConstantNanoseconds;
   }
 
-  /** Records {@code amount} of events. */
+  /** Records events with a total weight of {@code amount}. */
   public void add(double amount, long nowNanoseconds) {
     decay(nowNanoseconds);
     weight += amount;
   }
 
-  /** Returns the rate of events a second. */
+  /** Returns the rate of events per second. */
   public double perSecond(long nowNanoseconds) {
     decay(nowNanoseconds);
     return weight / timeConstantNanoseconds * TimeUnit.SECONDS.toNanos(1);
   }
 
   private void decay(long nowNanoseconds) {
-    if (used) {
+    if (initialized) {
       long elapsed = Math.max(0, nowNanoseconds - lastNanoseconds);
       weight *= Math.exp(-elapsed / timeConstantNanoseconds);
     }
-    used = true;
+    initialized = true;
     lastNanoseconds = nowNanoseconds;
   }
 }
--- a/admission/src/main/java/org/agatefield/admission/FixedLimit.java
+++ b/admission/src/main/java/org/agatefield/admission/FixedLimit.java
@@ -1,23 +1,23 @@
 package org.agatefield.admission;
 
 /**
- * A limit that never changes. Immutable.
+ * A concurrency limit that never changes. Immutable.
  *
  * @param limit the limit, 1 or more
  */
 public record FixedLimit(int limit) implements ConcurrencyLimit {
   @Override
-  public void succeeded(int outstanding, double usedOfDeadline) {
-    // Nothing is learnt.
+  public void succeeded(int outstanding, double usedDeadlineShare) {
+    // The limit is fixed.
   }
 
   @Override
   public void rejected() {
-    // Nothing is learnt.
+    // The limit is fixed.
   }
 
   @Override
   public void reported(int running, int waiting) {
-    // Nothing is learnt.
+    // The limit is fixed.
   }
 }
--- a/admission/src/main/java/org/agatefield/admission/FleetSize.java
+++ b/admission/src/main/java/org/agatefield/admission/FleetSize.java
@@ -3,36 +3,36 @@
 import java.util.function.IntSupplier;
 
 /**
- * The most instances that were seen alive lately.
+ * Tracks the largest number of live instances observed recently.
  *
- * <p>Budgets that instances share are divided by it, so that the instances together keep to them
- * also while they do not see each other. Confined to one thread.
+ * <p>Budgets shared by the instances are divided by it, so that the instances together stay within
+ * them even while a network partition hides some of them from the others. Not thread safe.
  */
 public final class FleetSize {
-  /** How often {@link #sample} is to be called, so that no size is missed. */
+  /** The interval at which {@link #sample} has to be called so that no fleet size is missed. */
   public static final long SAMPLE_INTERVAL_MILLISECONDS = 240;
 
-  private static final long MEMORY_MILLISECONDS = 60_000; // longer than most cuts last
+  private static final long RETENTION_MILLISECONDS = 60_000; // longer than most network partitions
 
   private final IntSupplier alive;
   private int recentMaximum = 1;
-  private long mostAt;
+  private long maximumAt;
 
-  /** Creates the size of a fleet of which {@code alive} tells the instances seen now. */
+  /** Creates a tracker; {@code alive} returns the number of instances currently seen alive. */
   public FleetSize(IntSupplier alive) {
     this.alive = alive;
   }
 
-  /** Takes note of the instances that are seen now. */
+  /** Samples the number of live instances. */
   public void sample(long nowMilliseconds) {
     int seen = alive.getAsInt();
-    if (seen >= recentMaximum || nowMilliseconds - mostAt > MEMORY_MILLISECONDS) {
+    if (seen >= recentMaximum || nowMilliseconds - maximumAt > RETENTION_MILLISECONDS) {
       recentMaximum = Math.max(1, seen);
-      mostAt = nowMilliseconds;
+      maximumAt = nowMilliseconds;
     }
   }
 
-  /** Returns the most instances, at least 1. */
+  /** Returns the largest number of live instances observed recently, at least 1. */
   public int recentMaximum(long nowMilliseconds) {
     sample(nowMilliseconds);
     return recentMaximum;
--- a/admission/src/main/java/org/agatefield/admission/NoShedding.java
+++ b/admission/src/main/java/org/agatefield/admission/NoShedding.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Refuses nothing: the baseline of a queue without limits. Immutable. */
+/** Refuses no request; used as a baseline without admission limits. Immutable. */
 public final class NoShedding implements SheddingPolicy {
   @Override
   public Optional<Refusal> onArrival(QueuedRequest request, QueueView queue, long nowNanoseconds) {
--- a/admission/src/main/java/org/agatefield/admission/Offer.java
+++ b/admission/src/main/java/org/agatefield/admission/Offer.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What became of a request that was offered to a queue. Immutable.
+ * The result of offering a request to a queue. Immutable.
  *
- * @param queued whether the request now waits
- * @param refused requests that are refused: the offered one if it does not wait, or others that
- *     gave up their places to it
+ * @param queued whether the request is now waiting
+ * @param refused the offered request if it was not queued, and waiting requests that were evicted
+ *     to make room
  */
 public record Offer(boolean queued, List<Refusal> refused) {
   /** Copies the list. */
--- a/admission/src/main/java/org/agatefield/admission/QueueBounds.java
+++ b/admission/src/main/java/org/agatefield/admission/QueueBounds.java
@@ -1,12 +1,12 @@
 package org.agatefield.admission;
 
 /**
- * Bounds of a queue. Immutable.
+ * The bounds of a queue. Immutable.
  *
- * @param requests most requests that wait
- * @param bytes most bytes that waiting requests hold
+ * @param requests the maximum number of waiting requests
+ * @param bytes the maximum total size of the bodies of waiting requests
  */
 public record QueueBounds(int requests, long bytes) {
-  /** Bounds that no queue reaches. */
+  /** Bounds that are never reached. */
   public static final QueueBounds NONE = new QueueBounds(Integer.MAX_VALUE, Long.MAX_VALUE);
 }
--- a/admission/src/main/java/org/agatefield/admission/QueuedRequest.java
+++ b/admission/src/main/java/org/agatefield/admission/QueuedRequest.java
@@ -3,17 +3,17 @@
 import org.agatefield.model.Priority;
 
 /**
- * A request as admission sees it. Immutable.
+ * A request as the admission queue handles it. Immutable.
  *
  * @param id unique among the requests of one queue
- * @param target the deployment or service asked for; requests for one target are interchangeable
+ * @param target the requested deployment or service; requests for one target are interchangeable
  * @param caller the caller's name
- * @param weight the caller's fair share relative to other callers, above 0
- * @param priority the order in which waiting work is served
- * @param arrivalNanoseconds when the request came
- * @param deadlineNanoseconds when the whole answer must be there
- * @param bytes size of the body that is held while the request waits
- * @param cost expected work in units that are comparable within a target, above 0
+ * @param weight the caller's weight relative to other callers in fair queueing, above 0
+ * @param priority the priority; higher ones are served first
+ * @param arrivalNanoseconds time of arrival
+ * @param deadlineNanoseconds time by which the complete answer is due
+ * @param bytes size of the body that is held in memory while the request waits
+ * @param cost expected cost in units that are comparable within a target, above 0
  */
 public record QueuedRequest(
     long id,
--- a/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBucket.java
@@ -1,46 +1,47 @@
 package org.agatefield.admission;
 
 /**
- * Tokens of one client account that one instance may grant.
+ * A token bucket with the quota of one client account that one instance may grant.
  *
- * <p>Answers the load of an account that asks for many times its quota at many instances.
- * Invariant: over any span, what is granted or lent is at most the capacity and what is earned in
- * the span, and what was {@link #add added}; a grant larger than the capacity takes what is earned
- * later. A new bucket is empty, so that a holder that starts again, or takes over, grants nothing
- * that the one before it may have granted already. Confined to one thread.
+ * <p>Bounds accounts that request many times their quota at many instances. Invariant: over any
+ * time span, the tokens granted or lent are at most the capacity plus the tokens earned and {@link
+ * #add added} in that span; a grant larger than the capacity uses tokens that are earned later. A
+ * new bucket is empty, so that an instance that restarts, or takes over the account, grants nothing
+ * that the previous holder may have granted already. Not thread safe.
  */
 public final class QuotaBucket {
-  // A request larger than the capacity is granted by a bucket that is nearly full.
-  private static final double NEARLY_FULL = 0.95;
-  private static final double LARGEST_REQUEST = 2; // capacities; a larger one needs a loan
+  // A bucket filled to this share grants a request that is larger than its capacity.
+  private static final double NEARLY_FULL_SHARE = 0.95;
+  // In multiples of the capacity; larger requests need a loan from other instances.
+  private static final double LARGEST_GRANT_CAPACITIES = 2;
   private static final double MILLISECONDS_PER_SECOND = 1_000;
 
-  private static final double UNMET_MILLISECONDS = 250; // refused requests come back about then
+  private static final double UNMET_DECAY_MILLISECONDS = 250; // typical delay of retries
 
   private TokenRate rate;
   private double level;
   private double unmet;
-  private long filledAt;
+  private long refilledAt;
 
   /** Creates an empty bucket. */
   public QuotaBucket(TokenRate rate, long nowMilliseconds) {
     this.rate = rate;
-    this.filledAt = nowMilliseconds;
+    this.refilledAt = nowMilliseconds;
   }
 
-  /** Takes another rate from now on; what is kept beyond its capacity is dropped. */
-  public void setRate(TokenRate changed, long nowMilliseconds) {
-    fill(nowMilliseconds);
-    if (changed.capacity() < rate.capacity()) {
-      level = Math.min(level, changed.capacity());
+  /** Changes the rate from now on; tokens beyond a smaller capacity are dropped. */
+  public void setRate(TokenRate newRate, long nowMilliseconds) {
+    refill(nowMilliseconds);
+    if (newRate.capacity() < rate.capacity()) {
+      level = Math.min(level, newRate.capacity());
     }
-    rate = changed;
+    rate = newRate;
   }
 
-  /** Takes tokens for a request, if they are there. */
+  /** Takes the tokens for a request if the bucket holds enough; returns whether it did. */
   public boolean tryTake(double tokens, long nowMilliseconds) {
-    fill(nowMilliseconds);
-    if (level < needed(tokens)) {
+    refill(nowMilliseconds);
+    if (level < requiredLevel(tokens)) {
       unmet += tokens;
       return false;
     }
@@ -49,44 +50,50 @@
     return true;
   }
 
-  /** Takes what there is of the wanted tokens, for the bucket of another instance. */
+  /**
+   * Removes up to {@code wanted} tokens for the bucket of another instance; returns the number
+   * removed.
+   */
   public double lend(double wanted, long nowMilliseconds) {
-    fill(nowMilliseconds);
+    refill(nowMilliseconds);
     double lent = Math.max(0, Math.min(wanted, level));
     level -= lent;
     return lent;
   }
 
-  /** Takes in tokens that another bucket lent; they may exceed the capacity until they are used. */
+  /** Adds tokens that another bucket lent; they may exceed the capacity until they are used. */
   public void add(double tokens, long nowMilliseconds) {
-    fill(nowMilliseconds);
+    refill(nowMilliseconds);
     level += tokens;
   }
 
-  /** Takes tokens back that were granted and not used; what exceeds the capacity is dropped. */
+  /** Returns granted tokens that were not used; tokens beyond the capacity are dropped. */
   public void refund(double tokens, long nowMilliseconds) {
-    fill(nowMilliseconds);
+    refill(nowMilliseconds);
     level = Math.max(level, Math.min(rate.capacity(), level + tokens));
   }
 
-  /** Returns the tokens that are there. */
+  /** Returns the number of available tokens. */
   public double level(long nowMilliseconds) {
-    fill(nowMilliseconds);
+    refill(nowMilliseconds);
     return level;
   }
 
-  /** Returns the most tokens that it earns. */
+  /** Returns the level up to which the bucket earns tokens. */
   public double capacity() {
     return rate.capacity();
   }
 
-  /** Returns how many tokens a request lacks; 0 if it can have them. */
+  /** Returns how many tokens are missing for a request; 0 if it can be granted. */
   public double shortfall(double tokens, long nowMilliseconds) {
-    fill(nowMilliseconds);
-    return Math.max(0, needed(tokens) - level);
+    refill(nowMilliseconds);
+    return Math.max(0, requiredLevel(tokens) - level);
   }
 
-  /** Returns how long it takes to earn what a request lacks, behind those that lately got none. */
+  /**
+   * Returns how long it takes to earn the tokens missing for a request, after those of requests
+   * that were refused shortly before.
+   */
   public long millisecondsUntil(double tokens, long nowMilliseconds) {
     double shortfall = shortfall(tokens, nowMilliseconds);
     if (shortfall <= 0) {
@@ -96,16 +103,16 @@
     return (long) Math.ceil(seconds * MILLISECONDS_PER_SECOND);
   }
 
-  private double needed(double tokens) {
-    boolean grantable = tokens <= LARGEST_REQUEST * rate.capacity();
-    return grantable ? Math.min(tokens, NEARLY_FULL * rate.capacity()) : tokens;
+  private double requiredLevel(double tokens) {
+    boolean grantable = tokens <= LARGEST_GRANT_CAPACITIES * rate.capacity();
+    return grantable ? Math.min(tokens, NEARLY_FULL_SHARE * rate.capacity()) : tokens;
   }
 
-  private void fill(long nowMilliseconds) {
-    double elapsed = Math.max(0, nowMilliseconds - filledAt);
+  private void refill(long nowMilliseconds) {
+    double elapsed = Math.max(0, nowMilliseconds - refilledAt);
     double seconds = elapsed / MILLISECONDS_PER_SECOND;
-    unmet *= Math.exp(-elapsed / UNMET_MILLISECONDS);
-    filledAt = Math.max(filledAt, nowMilliseconds);
+    unmet *= Math.exp(-elapsed / UNMET_DECAY_MILLISECONDS);
+    refilledAt = Math.max(refilledAt, nowMilliseconds);
     if (level < rate.capacity()) {
       level = Math.min(rate.capacity(), level + seconds * rate.perSecond());
     }
--- a/admission/src/main/java/org/agatefield/admission/QuotaBuckets.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaBuckets.java
@@ -5,64 +5,68 @@
 import java.util.function.Predicate;
 
 /**
- * The buckets that one instance holds, by client account.
+ * Holds the token buckets of one instance, by client account.
  *
- * <p>A bucket that is asked for without being kept is created empty and forgotten once nobody has
- * asked for a while. Confined to one thread.
+ * <p>A bucket requested for an account that this instance does not hold is created empty, and
+ * removed after a period without use. Not thread safe.
  */
 public final class QuotaBuckets {
-  private static final long FORGET_MILLISECONDS = 10_000; // longer than the usual window
-  private static final long KEPT_MILLISECONDS = 1_000; // a holder uses its buckets several times
+  // Longer than the usual quota window.
+  private static final long UNUSED_RETENTION_MILLISECONDS = 10_000;
+  // An instance that holds an account uses its bucket several times within this time.
+  private static final long RECENT_USE_MILLISECONDS = 1_000;
 
-  private final Map<String, Held> buckets = new HashMap<>();
+  private final Map<String, TrackedBucket> buckets = new HashMap<>();
 
-  private static final class Held {
+  private static final class TrackedBucket {
     private final QuotaBucket bucket;
     private long usedAt;
 
-    Held(QuotaBucket bucket) {
+    TrackedBucket(QuotaBucket bucket) {
       this.bucket = bucket;
     }
   }
 
-  /** Returns the bucket of an account, with the rate that it has now. */
+  /** Returns the bucket of an account, updated to its current rate. */
   public QuotaBucket bucket(String account, TokenRate rate, long nowMilliseconds) {
-    Held held =
+    TrackedBucket tracked =
         buckets.computeIfAbsent(
-            account, ignored -> new Held(new QuotaBucket(rate, nowMilliseconds)));
-    held.usedAt = nowMilliseconds;
-    held.bucket.setRate(rate, nowMilliseconds);
-    return held.bucket;
+            account, ignored -> new TrackedBucket(new QuotaBucket(rate, nowMilliseconds)));
+    tracked.usedAt = nowMilliseconds;
+    tracked.bucket.setRate(rate, nowMilliseconds);
+    return tracked.bucket;
   }
 
-  /** Forgets the buckets that are neither kept nor used. */
-  public void removeUnused(Predicate<String> kept, long nowMilliseconds) {
+  /**
+   * Removes the buckets that were not used recently, unless {@code isHeld} accepts their account.
+   */
+  public void removeUnused(Predicate<String> isHeld, long nowMilliseconds) {
     buckets
         .entrySet()
         .removeIf(
             entry ->
-                !kept.test(entry.getKey())
-                    && nowMilliseconds - entry.getValue().usedAt > FORGET_MILLISECONDS);
+                !isHeld.test(entry.getKey())
+                    && nowMilliseconds - entry.getValue().usedAt > UNUSED_RETENTION_MILLISECONDS);
   }
 
   /**
-   * Empties all buckets and returns what was in them, by account; buckets that nobody kept or used
-   * lately are left out, as another instance holds them by now.
+   * Removes all buckets and returns their tokens, by account. Buckets that were not used recently
+   * are left out, since another instance holds those accounts by now.
    */
   public Map<String, Double> drain(long nowMilliseconds) {
     Map<String, Double> tokens = new HashMap<>();
     buckets.forEach(
-        (account, held) -> {
-          if (nowMilliseconds - held.usedAt <= KEPT_MILLISECONDS) {
-            double level = held.bucket.level(nowMilliseconds);
-            tokens.put(account, held.bucket.lend(level, nowMilliseconds));
+        (account, tracked) -> {
+          if (nowMilliseconds - tracked.usedAt <= RECENT_USE_MILLISECONDS) {
+            double level = tracked.bucket.level(nowMilliseconds);
+            tokens.put(account, tracked.bucket.lend(level, nowMilliseconds));
           }
         });
     buckets.clear();
     return tokens;
   }
 
-  /** Forgets a bucket, so that the next one of that account begins empty. */
+  /** Removes the bucket of an account, so that its next bucket starts empty. */
   public void forget(String account) {
     buckets.remove(account);
   }
--- a/admission/src/main/java/org/agatefield/admission/QuotaTolerance.java
+++ b/admission/src/main/java/org/agatefield/admission/QuotaTolerance.java
@@ -1,23 +1,23 @@
 package org.agatefield.admission;
 
 /**
- * How far a client account may exceed its quota before its operator minds. Immutable.
+ * Defines by how much a client account may exceed its quota. Immutable.
  *
  * <p>Over each window, up to {@code (perSecond * window + burst) * (1 + overage) + slack} is
- * tolerated. Most of what that leaves beside the quota is handed out, so that uneven arrivals are
- * not refused below the quota; the rest covers what buckets hand out twice while instances disagree
- * on who holds them.
+ * tolerated. Most of the tolerance beyond the quota is added to the capacity of the buckets, so
+ * that uneven arrivals are not refused below the quota; the rest covers tokens granted twice while
+ * instances disagree on which of them holds the buckets.
  *
- * @param windowSeconds the span that is counted
- * @param overage the tolerated part of the quota beside it
- * @param slack what is tolerated beside that, in the quota's unit
+ * @param windowSeconds the length of the window
+ * @param overage the tolerated excess as a share of the quota
+ * @param slack the excess tolerated in addition, in the quota's unit
  */
 public record QuotaTolerance(double windowSeconds, double overage, double slack) {
-  private static final double USED_SHARE = 0.75;
+  private static final double GRANTED_TOLERANCE_SHARE = 0.75;
 
-  /** Returns what the buckets of one account may earn and hold together. */
+  /** Returns the total rate and capacity of all buckets of one account. */
   public TokenRate rate(double perSecond, double burst) {
-    double beside = overage * (perSecond * windowSeconds + burst) + slack;
-    return new TokenRate(perSecond, burst + USED_SHARE * beside);
+    double tolerance = overage * (perSecond * windowSeconds + burst) + slack;
+    return new TokenRate(perSecond, burst + GRANTED_TOLERANCE_SHARE * tolerance);
   }
 }
--- a/admission/src/main/java/org/agatefield/admission/RequestCoalescer.java
+++ b/admission/src/main/java/org/agatefield/admission/RequestCoalescer.java
@@ -7,20 +7,20 @@
 import java.util.Optional;
 
 /**
- * Joins retries of a repeatable request to the one that is in flight.
+ * Coalesces repeatable requests: a retry joins the identical request that is already in flight.
  *
- * <p>Invariant: at most one request for each key is in flight; each other one names it. Safe for
- * use by any thread.
+ * <p>Invariant: at most one request per key, the leader, is in flight; the others are its
+ * followers. Thread safe.
  *
- * @param <T> what the embedding program keeps of each request
+ * @param <T> the type that represents a request in the embedding program
  */
 public final class RequestCoalescer<T> {
   private final Map<Key, Entry<T>> entries = new HashMap<>();
 
   /**
-   * What makes two requests the same. Immutable.
+   * Identifies identical requests. Immutable.
    *
-   * @param caller the caller's name; requests of different callers are never joined
+   * @param caller the caller's name; requests of different callers are never coalesced
    * @param bodyHash a cryptographic hash of method, path and body
    */
   public record Key(String caller, String bodyHash) {}
@@ -34,7 +34,10 @@
     }
   }
 
-  /** Returns the request in flight that {@code request} joins; empty if it is now the one. */
+  /**
+   * Returns the request in flight that {@code request} joins; empty if {@code request} becomes the
+   * one in flight.
+   */
   public synchronized Optional<T> join(Key key, T request) {
     Entry<T> entry = entries.get(key);
     if (entry == null) {
@@ -45,7 +48,7 @@
     return Optional.of(entry.leader);
   }
 
-  /** Removes a request that joined and whose caller has gone. */
+  /** Removes a follower whose caller disconnected. */
   public synchronized void leave(Key key, T follower) {
     Entry<T> entry = entries.get(key);
     if (entry != null) {
@@ -53,7 +56,7 @@
     }
   }
 
-  /** Ends the request in flight and returns those that joined it. */
+  /** Ends the request in flight and returns its followers. */
   public synchronized List<T> finish(Key key) {
     Entry<T> entry = entries.remove(key);
     return entry == null ? List.of() : List.copyOf(entry.followers);
--- a/admission/src/main/java/org/agatefield/admission/RetryBudget.java
+++ b/admission/src/main/java/org/agatefield/admission/RetryBudget.java
@@ -1,10 +1,10 @@
 package org.agatefield.admission;
 
 /**
- * A token bucket that first attempts fill and further attempts empty.
+ * A token bucket that limits retries to a share of the first attempts.
  *
  * <p>Invariant: of any number of attempts, at most {@code reserve + share * first attempts} are
- * further ones. Confined to the thread that holds it.
+ * retries. Not thread safe.
  */
 public final class RetryBudget implements RetryPolicy {
   private final double share;
@@ -14,8 +14,8 @@
   /**
    * Creates a full bucket.
    *
-   * @param share further attempts that each first attempt allows, from 0 to 1
-   * @param reserve most further attempts that can be saved up
+   * @param share retries earned by each first attempt, from 0 to 1
+   * @param reserve the maximum number of retries that can be accumulated
    */
   public RetryBudget(double share, double reserve) {
     this.share = share;
--- a/admission/src/main/java/org/agatefield/admission/Selection.java
+++ b/admission/src/main/java/org/agatefield/admission/Selection.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * The request that goes next. Immutable.
+ * The result of selecting the next request. Immutable.
  *
- * @param chosen the request, no longer waiting; empty if none waits
- * @param refused requests that were found to be too late
+ * @param chosen the request, no longer waiting; empty if none was waiting
+ * @param refused requests that can no longer meet their deadlines
  */
 public record Selection(Optional<QueuedRequest> chosen, List<Refusal> refused) {
   /** Copies the list. */
--- a/admission/src/main/java/org/agatefield/admission/TokenRate.java
+++ b/admission/src/main/java/org/agatefield/admission/TokenRate.java
@@ -1,13 +1,13 @@
 package org.agatefield.admission;
 
 /**
- * What a bucket of tokens earns and holds. Immutable.
+ * The refill rate and the capacity of a token bucket. Immutable.
  *
- * @param perSecond tokens earned each second
- * @param capacity the most tokens that are kept
+ * @param perSecond tokens earned per second
+ * @param capacity the level at which no more tokens are earned
  */
 public record TokenRate(double perSecond, double capacity) {
-  /** Returns the part of it that one of several buckets has. */
+  /** Returns the rate of a bucket that has {@code share} of this rate and capacity. */
   public TokenRate scaled(double share) {
     return new TokenRate(perSecond * share, capacity * share);
   }
--- a/admission/src/main/java/org/agatefield/admission/UnlimitedRetries.java
+++ b/admission/src/main/java/org/agatefield/admission/UnlimitedRetries.java
@@ -1,10 +1,10 @@
 package org.agatefield.admission;
 
-/** Allows every further attempt: the baseline. Immutable. */
+/** Allows every retry; used as a baseline. Immutable. */
 public final class UnlimitedRetries implements RetryPolicy {
   @Override
   public void firstAttempt() {
-    // Nothing is counted.
+    // No budget is tracked.
   }
 
   @Override
--- a/admission/src/main/java/org/agatefield/admission/WeightedFairOrder.java
+++ b/admission/src/main/java/org/agatefield/admission/WeightedFairOrder.java
@@ -6,11 +6,11 @@
 import org.agatefield.model.Priority;
 
 /**
- * Start-time fair queueing between callers at each runner.
+ * Serves callers at each runner by start-time fair queueing.
  *
- * <p>Invariant: of the callers that always have a request waiting that a runner can serve, each
- * gets work from that runner in proportion to its weight, up to the cost of one request. A caller
- * that was idle gets no credit for it. Confined to the thread that holds the queue.
+ * <p>Invariant: callers that always have a waiting request that a runner can serve share that
+ * runner in proportion to their weights, to within the cost of one request. A caller earns no
+ * credit while it is idle. Not thread safe; guarded by the lock of the queue.
  */
 public final class WeightedFairOrder implements SelectionOrder {
   private static final int MAXIMUM_CLOCKS = 16_384;
@@ -50,7 +50,7 @@
     double bestTag = clock.startTag(best);
     for (QueuedRequest head : heads.subList(1, heads.size())) {
       double tag = clock.startTag(head);
-      if (tag < bestTag || tag == bestTag && goesBefore(head, best)) {
+      if (tag < bestTag || tag == bestTag && precedes(head, best)) {
         best = head;
         bestTag = tag;
       }
@@ -58,7 +58,7 @@
     return best;
   }
 
-  private static boolean goesBefore(QueuedRequest left, QueuedRequest right) {
+  private static boolean precedes(QueuedRequest left, QueuedRequest right) {
     if (left.deadlineNanoseconds() != right.deadlineNanoseconds()) {
       return left.deadlineNanoseconds() < right.deadlineNanoseconds();
     }
--- a/admission/src/main/java/org/agatefield/admission/WindowedRetryBudget.java
+++ b/admission/src/main/java/org/agatefield/admission/WindowedRetryBudget.java
@@ -1,28 +1,28 @@
 package org.agatefield.admission;
 
 /**
- * Bounds repeated requests over every span of a window, for one instance of several.
+ * Limits the retries of one instance within each span of a sliding window.
  *
- * <p>Answers the load pattern of upstreams that fail or refuse many requests at once: without it,
- * every failure adds a request to a service that has too many already. Each instance counts its own
- * requests and uses its part of the shared reserve, so that no message is needed on the path of a
- * request. Invariant: whenever a repeat is granted, the repeats of the window that ends then are at
- * most {@code share * requests + reserve} of the same window. Confined to one thread.
+ * <p>Protects upstreams that fail or refuse many requests at once: without a limit, every failure
+ * adds a request to a service that is already overloaded. Each instance counts its own requests and
+ * uses its part of the shared reserve, so that no message to other instances is needed per request.
+ * Invariant: whenever a retry is granted, the retries of the window that ends then are at most
+ * {@code share * requests + reserve} of the same window. Not thread safe.
  */
 public final class WindowedRetryBudget {
-  private static final int BUCKETS = 20; // a window slides in steps of a twentieth
+  private static final int BUCKETS = 20; // the window slides in steps of a twentieth
 
   private final double share;
   private final long bucketMilliseconds;
   private final int[] requests = new int[BUCKETS];
-  private final int[] repeats = new int[BUCKETS + 1];
+  private final int[] retries = new int[BUCKETS + 1];
   private long newestBucket;
 
   /**
    * Creates a budget.
    *
-   * @param share repeats granted for each request
-   * @param windowMilliseconds the span that is counted
+   * @param share retries granted per request
+   * @param windowMilliseconds the length of the window
    */
   public WindowedRetryBudget(double share, long windowMilliseconds) {
     this.share = share;
@@ -36,26 +36,29 @@
   }
 
   /**
-   * Takes one repeat if it fits.
+   * Takes one retry if the budget allows it.
    *
-   * @param reserve this instance's part of the repeats that are granted beside the share
+   * @param reserve this instance's part of the retries that are granted beyond the share
    */
   public boolean tryTake(double reserve, long nowMilliseconds) {
     advance(nowMilliseconds);
-    if (sum(repeats) + 1 > share * sum(requests) + reserve) {
+    if (sum(retries) + 1 > share * sum(requests) + reserve) {
       return false;
     }
-    repeats[(int) (newestBucket % (BUCKETS + 1))]++;
+    retries[(int) (newestBucket % (BUCKETS + 1))]++;
     return true;
   }
 
-  /** Returns the repeats that could still be taken now. */
+  /** Returns the number of retries that could still be taken now. */
   public double left(double reserve, long nowMilliseconds) {
     advance(nowMilliseconds);
-    return share * sum(requests) + reserve - sum(repeats);
+    return share * sum(requests) + reserve - sum(retries);
   }
 
-  /** Repeats are kept for one bucket more than requests, so that no span of a window is missed. */
+  /**
+   * Advances to the current bucket. Retries are counted for one bucket more than requests, so that
+   * the limit holds for every span of the length of a window.
+   */
   private void advance(long nowMilliseconds) {
     long bucket = nowMilliseconds / bucketMilliseconds;
     if (bucket <= newestBucket) {
@@ -64,7 +67,7 @@
     long first = Math.max(newestBucket + 1, bucket - BUCKETS);
     for (long cleared = first; cleared <= bucket; cleared++) {
       requests[(int) (cleared % BUCKETS)] = 0;
-      repeats[(int) (cleared % (BUCKETS + 1))] = 0;
+      retries[(int) (cleared % (BUCKETS + 1))] = 0;
     }
     newestBucket = bucket;
   }
--- a/admission/src/main/java/org/agatefield/admission/package-info.java
+++ b/admission/src/main/java/org/agatefield/admission/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decides which requests wait, which are refused at once, and which goes next.
+ * Admission control: decides which requests wait, which are refused and which is served next.
  *
- * <p>Nothing here does input or output, starts a thread or reads a clock: times are nanoseconds of
- * a monotonic clock that the embedding program passes in.
+ * <p>Nothing here performs I/O, starts threads or reads clocks: the embedding program passes in
+ * times of a monotonic clock.
  */
 package org.agatefield.admission;
--- a/admission/src/test/java/org/agatefield/admission/AdaptiveLimitTest.java
+++ b/admission/src/test/java/org/agatefield/admission/AdaptiveLimitTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void reportFromBetweenTwoBatchesDoesNotLowerTheLimitBelowWhatTheEngineRan() {
+  void reportBetweenTwoBatchesDoesNotLowerTheLimitBelowRecentlyRunningRequests() {
     AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(16, 10);
     limit.reported(1, 25);
@@ -37,14 +37,14 @@
   }
 
   @Test
-  void engineThatLetsRequestsWaitLowersTheLimitToWhatItRuns() {
+  void waitingRequestsLowerTheLimitToTheRunningRequests() {
     AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(16, 10);
     assertEquals(16, limit.limit());
   }
 
   @Test
-  void engineThatRunsLessForLongLowersTheLimit() {
+  void limitFollowsLastingDeclineOfRunningRequests() {
     AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(16, 10);
     for (int report = 0; report < 100; report++) {
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void reportWithoutWaitingRequestsLeavesTheLimit() {
+  void reportWithoutWaitingRequestsDoesNotChangeTheLimit() {
     AdaptiveLimit limit = new AdaptiveLimit(1, 32, 1_024);
     limit.reported(3, 0);
     assertEquals(32, limit.limit());
--- a/admission/src/test/java/org/agatefield/admission/AdmissionQueueTest.java
+++ b/admission/src/test/java/org/agatefield/admission/AdmissionQueueTest.java
@@ -46,9 +46,10 @@
   }
 
   /**
-   * Serves callers of which the last sends many times what it is served; returns work by caller.
+   * Serves callers of which the last sends far more than is served; returns the served cost by
+   * caller.
    */
-  private Map<String, Double> serveFlood(
+  private Map<String, Double> serveWithFloodingCaller(
       SelectionOrder order, List<Integer> weights, UniformRandomProvider random) {
     AdmissionQueue queue = new AdmissionQueue(QueueBounds.NONE, new NoShedding(), order);
     Map<String, Double> served = new HashMap<>();
@@ -68,7 +69,10 @@
     return served;
   }
 
-  /** Returns how far the work of two callers differs from their weights, in the bound's units. */
+  /**
+   * Returns the largest difference between the served cost per weight of two callers, relative to
+   * the allowed difference.
+   */
   private static double worstUnfairness(Map<String, Double> served, List<Integer> weights) {
     double worst = 0;
     for (int left = 0; left < weights.size(); left++) {
@@ -83,65 +87,65 @@
   }
 
   @Property(tries = 200, seed = "5001")
-  void backloggedCallersGetTheirWeightedSharesWhateverOneOfThemSends(
+  void backloggedCallersGetTheirWeightedSharesWhileOneOfThemFloods(
       @ForAll @Size(min = 2, max = 6) List<@IntRange(min = 1, max = 8) Integer> weights,
       @ForAll long seed) {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    Map<String, Double> served = serveFlood(new WeightedFairOrder(), weights, random);
+    Map<String, Double> served = serveWithFloodingCaller(new WeightedFairOrder(), weights, random);
     assertTrue(worstUnfairness(served, weights) <= 1, served.toString());
   }
 
   @Test
-  void arrivalOrderGivesTheCallerThatFloodsMoreThanItsShare() {
+  void arrivalOrderGivesFloodingCallerMoreThanItsShare() {
     List<Integer> weights = List.of(1, 1, 1);
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(5001);
-    Map<String, Double> served = serveFlood(new ArrivalOrder(), weights, random);
+    Map<String, Double> served = serveWithFloodingCaller(new ArrivalOrder(), weights, random);
     assertTrue(worstUnfairness(served, weights) > 1, served.toString());
   }
 
   @Property(tries = 300, seed = "5002")
-  void boundsHoldAndEachRequestIsChosenOrRefusedOnceAndNeverLate(
+  void queueStaysWithinBoundsAndSelectsInTimeOrRefusesEachRequestOnce(
       @ForAll @IntRange(min = 1, max = 20) int maximumRequests,
       @ForAll @IntRange(min = 1, max = 400) int maximumBytes,
       @ForAll long seed) {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     AdmissionQueue queue = queue(new QueueBounds(maximumRequests, maximumBytes), seed);
-    Set<Long> over = new HashSet<>();
+    Set<Long> ended = new HashSet<>();
     List<QueuedRequest> offered = new ArrayList<>();
     long now = 0;
     for (int step = 0; step < 300; step++) {
       now += random.nextLong(SECOND / 5);
       QueuedRequest request = randomRequest(random, now);
       offered.add(request);
-      queue.offer(request, now).refused().forEach(refusal -> end(over, refusal));
+      queue.offer(request, now).refused().forEach(refusal -> recordRefusal(ended, refusal));
       assertTrue(queue.size() <= maximumRequests && queue.bytes() <= maximumBytes);
       if (random.nextInt(3) == 0) {
-        serve(queue, over, now);
+        serve(queue, ended, now);
       }
     }
-    queue.expire(now + 100 * SECOND).forEach(refusal -> end(over, refusal));
-    assertEquals(offered.size(), over.size());
+    queue.expire(now + 100 * SECOND).forEach(refusal -> recordRefusal(ended, refusal));
+    assertEquals(offered.size(), ended.size());
     assertEquals(0, queue.size());
     assertEquals(0, queue.bytes());
   }
 
-  private static void serve(AdmissionQueue queue, Set<Long> over, long now) {
+  private static void serve(AdmissionQueue queue, Set<Long> ended, long now) {
     Selection selection = queue.next("runner", TARGETS, now);
-    selection.refused().forEach(refusal -> end(over, refusal));
+    selection.refused().forEach(refusal -> recordRefusal(ended, refusal));
     selection
         .chosen()
         .ifPresent(
             chosen -> {
               assertTrue(chosen.deadlineNanoseconds() > now, "started after its deadline");
-              assertTrue(over.add(chosen.id()));
+              assertTrue(ended.add(chosen.id()));
               queue.started(chosen.target());
               queue.recordServiceTime(chosen.target(), chosen.cost(), SECOND / 10, now);
               queue.finished(chosen.target());
             });
   }
 
-  private static void end(Set<Long> over, Refusal refusal) {
-    assertTrue(over.add(refusal.request().id()), "refused after it was over");
+  private static void recordRefusal(Set<Long> ended, Refusal refusal) {
+    assertTrue(ended.add(refusal.request().id()), "refused after it had been selected or refused");
     assertEquals(RunState.NO, refusal.kind().runState());
     assertFalse(refusal.retryAfter().isNegative() || refusal.retryAfter().isZero());
   }
@@ -162,7 +166,7 @@
   }
 
   @Test
-  void queueWithoutSheddingStartsWorkAfterItsDeadline() {
+  void queueWithoutSheddingStartsRequestsAfterTheirDeadline() {
     AdmissionQueue queue =
         new AdmissionQueue(QueueBounds.NONE, new NoShedding(), new ArrivalOrder());
     queue.offer(request("caller", 1, Priority.STANDARD, 0, SECOND, 1), 0);
@@ -171,7 +175,7 @@
   }
 
   @Test
-  void fullQueueGivesPlacesOfTheLargestBacklogToOthers() {
+  void fullQueueEvictsRequestsOfTheLargestBacklogForOthers() {
     AdmissionQueue queue = queue(new QueueBounds(4, 1_000), 1);
     for (int copy = 0; copy < 4; copy++) {
       queue.offer(standard("retries", 0), 0);
@@ -184,7 +188,7 @@
   }
 
   @Test
-  void higherPriorityGoesFirstAndTakesPlacesOfLowerOnes() {
+  void higherPriorityIsServedFirstAndEvictsLowerOnes() {
     AdmissionQueue queue = queue(new QueueBounds(1, 1_000), 1);
     queue.offer(request("batch", 1, Priority.BATCH, 0, 60 * SECOND, 1), 0);
     QueuedRequest interactive = request("person", 1, Priority.INTERACTIVE, 0, 60 * SECOND, 1);
@@ -194,7 +198,7 @@
   }
 
   @Test
-  void requestThatCannotMeetItsDeadlineIsRefusedOnArrivalWithTimeToComeBack() {
+  void requestThatCannotMeetItsDeadlineIsRefusedOnArrivalWithRetryDelay() {
     AdmissionQueue queue = queue(QueueBounds.NONE, 1);
     queue.started("first");
     queue.recordServiceTime("first", 1, SECOND, 0);
@@ -209,7 +213,7 @@
   }
 
   @Test
-  void backlogOfOneCallerDoesNotMakeAnotherLookLate() {
+  void backlogOfOneCallerDoesNotCauseRefusalsOfAnother() {
     AdmissionQueue queue = queue(QueueBounds.NONE, 1);
     queue.started("first");
     queue.recordServiceTime("first", 1, SECOND, 0);
@@ -220,7 +224,7 @@
   }
 
   @Test
-  void targetThatWasSlowOnceIsTriedAgain() {
+  void targetThatWasSlowOnceIsTriedAgainLater() {
     AdmissionQueue queue = queue(QueueBounds.NONE, 1);
     queue.recordServiceTime("first", 1, 10 * SECOND, 0);
     QueuedRequest refused = request("caller", 1, Priority.STANDARD, 0, 5 * SECOND, 1);
--- a/admission/src/test/java/org/agatefield/admission/FleetSizeTest.java
+++ b/admission/src/test/java/org/agatefield/admission/FleetSizeTest.java
@@ -9,21 +9,21 @@
   private final FleetSize size = new FleetSize(() -> alive);
 
   @Test
-  void instancesThatAreNoLongerSeenStillCount() {
+  void instancesThatDisappearedRecentlyStillCount() {
     size.sample(0);
     alive = 1;
     assertEquals(20, size.recentMaximum(30_000));
   }
 
   @Test
-  void instancesThatWereNotSeenForLongAreForgotten() {
+  void instancesThatDisappearedLongAgoDoNotCount() {
     size.sample(0);
     alive = 12;
     assertEquals(12, size.recentMaximum(61_000));
   }
 
   @Test
-  void growthCountsAtOnce() {
+  void growthTakesEffectAtOnce() {
     size.sample(0);
     alive = 30;
     assertEquals(30, size.recentMaximum(1));
--- a/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
+++ b/admission/src/test/java/org/agatefield/admission/QuotaBucketTest.java
@@ -17,7 +17,7 @@
 class QuotaBucketTest {
   private static final TokenRate RATE = new TokenRate(1_000, 3_000);
 
-  /** What is asked for after a pause. */
+  /** A request for tokens after a pause. */
   record Step(long pauseMilliseconds, double tokens) {}
 
   private record Grant(long atMilliseconds, double tokens) {}
@@ -32,7 +32,7 @@
   }
 
   @Property(tries = 500, seed = "42")
-  void overEverySpanTheGrantsAreWithinCapacityAndEarnings(@ForAll("steps") List<Step> steps) {
+  void grantsOverAnySpanStayWithinCapacityPlusEarnedTokens(@ForAll("steps") List<Step> steps) {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     List<Grant> grants = new ArrayList<>();
     long now = 0;
@@ -54,7 +54,7 @@
   }
 
   @Property(tries = 200, seed = "43")
-  void whatIsAskedForWithinTheRateIsGrantedOnceTheBucketIsFull(@ForAll("steps") List<Step> steps) {
+  void fullBucketGrantsAllRequestsWithinItsRate(@ForAll("steps") List<Step> steps) {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     long now = 10_000;
     for (Step step : steps) {
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void requestLargerThanTheCapacityIsGrantedByFullBucketAndPaidForLater() {
+  void fullBucketGrantsRequestLargerThanItsCapacityInAdvance() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     assertTrue(bucket.tryTake(5_000, 10_000));
     assertFalse(bucket.tryTake(100, 12_000));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void lowerRateCountsAtOnce() {
+  void lowerRateTakesEffectAtOnce() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     bucket.setRate(new TokenRate(10, 200), 10_000);
     assertFalse(bucket.tryTake(201 + 100, 10_000) && bucket.tryTake(100, 10_000));
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void loanMovesTokensAndMakesNone() {
+  void loanMovesTokensWithoutCreatingAny() {
     QuotaBucket lender = new QuotaBucket(RATE, 0);
     double lent = lender.lend(9_000, 10_000);
     assertEquals(RATE.capacity(), lent, 0.001);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void tokensThatAreGivenBackCanBeGrantedAgainWithinTheCapacity() {
+  void refundedTokensCanBeGrantedAgainUpToTheCapacity() {
     QuotaBucket bucket = new QuotaBucket(RATE, 0);
     assertTrue(bucket.tryTake(2_000, 2_000));
     bucket.refund(2_000, 2_000);
--- a/admission/src/test/java/org/agatefield/admission/RequestCoalescerTest.java
+++ b/admission/src/test/java/org/agatefield/admission/RequestCoalescerTest.java
@@ -15,22 +15,22 @@
   @Property(tries = 300, seed = "5004")
   void atMostOneRequestForEachKeyIsInFlight(
       @ForAll @Size(max = 200) List<@IntRange(min = -3, max = 3) Integer> steps) {
-    RequestCoalescer<Integer> table = new RequestCoalescer<>();
+    RequestCoalescer<Integer> coalescer = new RequestCoalescer<>();
     Map<Integer, Integer> leaders = new HashMap<>();
     Map<Integer, Integer> followers = new HashMap<>();
     for (int step = 0; step < steps.size(); step++) {
       int number = Math.abs(steps.get(step));
       RequestCoalescer.Key key = new RequestCoalescer.Key("caller", "hash" + number);
       if (steps.get(step) < 0) {
-        assertEquals(followers.getOrDefault(number, 0), table.finish(key).size());
+        assertEquals(followers.getOrDefault(number, 0), coalescer.finish(key).size());
         leaders.remove(number);
         followers.remove(number);
       } else {
-        assertEquals(Optional.ofNullable(leaders.get(number)), table.join(key, step));
+        assertEquals(Optional.ofNullable(leaders.get(number)), coalescer.join(key, step));
         boolean leads = leaders.putIfAbsent(number, step) == null;
         followers.merge(number, leads ? 0 : 1, Integer::sum);
       }
-      assertEquals(leaders.size(), table.size());
+      assertEquals(leaders.size(), coalescer.size());
     }
   }
 }
--- a/admission/src/test/java/org/agatefield/admission/RetryBudgetTest.java
+++ b/admission/src/test/java/org/agatefield/admission/RetryBudgetTest.java
@@ -24,7 +24,7 @@
   }
 
   @Property(tries = 500, seed = "5003")
-  void furtherAttemptsStayWithinTheShareAndTheReserve(
+  void retriesStayWithinTheShareAndTheReserve(
       @ForAll @Size(max = 300) List<Boolean> attempts,
       @ForAll @DoubleRange(max = 1) double share,
       @ForAll @IntRange(max = 20) int reserve) {
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void withoutBudgetEveryFurtherAttemptIsMade() {
+  void unlimitedPolicyAllowsEveryRetry() {
     List<Boolean> attempts = List.of(true, false, false, false);
     assertTrue(retriesGranted(new UnlimitedRetries(), attempts) > 1);
   }
--- a/admission/src/test/java/org/agatefield/admission/WindowedRetryBudgetTest.java
+++ b/admission/src/test/java/org/agatefield/admission/WindowedRetryBudgetTest.java
@@ -17,31 +17,31 @@
   private static final double RESERVE = 3;
 
   @Property(tries = 500, seed = "99")
-  void repeatIsGrantedOnlyWithinWhatTheRequestsOfItsWindowAllow(
+  void retryIsGrantedOnlyWithinTheBudgetOfItsWindow(
       @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 400) Integer> pauses,
       @ForAll @IntRange(min = 1, max = 5) int triesPerRequest) {
     WindowedRetryBudget budget = new WindowedRetryBudget(SHARE, WINDOW);
     List<Long> requests = new ArrayList<>();
-    List<Long> repeats = new ArrayList<>();
+    List<Long> retries = new ArrayList<>();
     long now = 0;
     for (int pause : pauses) {
       now += pause;
       budget.requested(now);
       requests.add(now);
-      for (int tried = 0; tried < triesPerRequest; tried++) {
+      for (int attempt = 0; attempt < triesPerRequest; attempt++) {
         if (budget.tryTake(RESERVE, now)) {
-          repeats.add(now);
+          retries.add(now);
           long end = now;
           long inWindow = requests.stream().filter(at -> at > end - WINDOW).count();
-          long repeated = repeats.stream().filter(at -> at > end - WINDOW).count();
-          assertTrue(repeated <= SHARE * inWindow + RESERVE, repeated + " of " + inWindow);
+          long retried = retries.stream().filter(at -> at > end - WINDOW).count();
+          assertTrue(retried <= SHARE * inWindow + RESERVE, retried + " of " + inWindow);
         }
       }
     }
   }
 
   @Test
-  void repeatsAreGrantedAgainOnceTheWindowHasPassed() {
+  void retriesAreGrantedAgainOnceTheWindowHasPassed() {
     WindowedRetryBudget budget = new WindowedRetryBudget(SHARE, WINDOW);
     assertTrue(budget.tryTake(1, 0));
     assertFalse(budget.tryTake(1, 5_000));
--- a/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
+++ b/configuration/src/main/java/org/agatefield/configuration/MemoryFeasibility.java
@@ -84,7 +84,8 @@
     return requirements;
   }
 
-  private static Attempt pack(List<Requirement> requirements, List<Upstream> runners, boolean smallestFirst) {
+  private static Attempt pack(
+      List<Requirement> requirements, List<Upstream> runners, boolean smallestFirst) {
     Map<String, Long> free = new LinkedHashMap<>();
     Map<String, List<VersionId>> packing = new LinkedHashMap<>();
     for (Upstream runner : runners) {
--- a/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/ClaimExecution.java
@@ -96,7 +96,8 @@
   /** Returns whether the store may contain this arrival's claim without an outcome. */
   synchronized boolean isClaimed() {
     return switch (state.phase()) {
-      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING -> true;
+      case CREATING, READING_BACK, HOLDING, SENDING, REACQUIRING, QUERYING_OWN_OUTCOME, RECORDING ->
+          true;
       default -> false;
     };
   }
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -272,7 +272,8 @@
       heldInRegion |= candidate.region().equals(region);
     }
     boolean mayLeaveRegion =
-        !heldInRegion || crossing.isWorthwhile(queue.expectedDrainNanoseconds(pending.target.name()));
+        !heldInRegion
+            || crossing.isWorthwhile(queue.expectedDrainNanoseconds(pending.target.name()));
     List<Candidate> candidatesWithCapacity = new ArrayList<>(eligible.size());
     for (Candidate candidate : eligible) {
       if (candidate.hasCapacity() && (mayLeaveRegion || candidate.region().equals(region))) {
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/UpstreamState.java
@@ -3,7 +3,6 @@
 import java.util.Set;
 import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.admission.ConcurrencyLimit;
-import org.agatefield.admission.AdaptiveLimit;
 import org.agatefield.model.LoadReport;
 import org.agatefield.model.Upstream;
 import org.agatefield.routing.Candidate;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/EngineController.java
@@ -83,7 +83,11 @@
    * @param late what earlier lives of the runner were ordered to load
    */
   EngineController(
-      Vertx vertx, HttpClient client, RunnerDialect dialect, Orders orders, OutstandingOrders late) {
+      Vertx vertx,
+      HttpClient client,
+      RunnerDialect dialect,
+      Orders orders,
+      OutstandingOrders late) {
     this.late = late;
     this.vertx = vertx;
     this.calls = new RunnerClient(client, dialect);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -26,7 +26,6 @@
 import org.agatefield.daemon.forward.wire.PlatformDialect;
 import org.agatefield.daemon.leases.LeaseManager;
 import org.agatefield.forwarding.AccountTable;
-import org.agatefield.forwarding.StartInTimePolicy;
 import org.agatefield.forwarding.EarliestStartChooser;
 import org.agatefield.forwarding.ForwardingTable;
 import org.agatefield.forwarding.RunnerLoads;
@@ -229,8 +228,7 @@
   }
 
   private void createWatch(ObjectSource source, ObjectKind kind, InformerListener listener) {
-    ObjectRelay relay =
-        new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
+    ObjectRelay relay = new ObjectRelay(vertx, peers.self().id(), MonotonicClock::milliseconds);
     knowledgeRelays.put(kind.plural(), relay);
     ObjectInformer informer =
         new ObjectInformer(vertx, source, kind, STORE_POLL, LONGEST_STORE_DELAY);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingPeers.java
@@ -33,7 +33,8 @@
  * thread. Created and closed by other threads, which wait for the loop; else safe for use by any
  * thread.
  */
-final class ForwardingPeers implements LoadExchange.Fleet, RegionalQuotaPolicy.Fleet, AutoCloseable {
+final class ForwardingPeers
+    implements LoadExchange.Fleet, RegionalQuotaPolicy.Fleet, AutoCloseable {
   // Callers keep an answer that names a dead instance for seconds, so the dead are found in about
   // two.
   private static final long PROBE_MILLISECONDS = 600;
--- a/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/LoadExchange.java
@@ -117,8 +117,7 @@
   void heard(PeerMessage.RunnerLoadReport report, long nowMilliseconds) {
     Map<String, RunnerLoads.Load> shares = new HashMap<>();
     for (PeerMessage.RunnerShare share : report.loads()) {
-      shares.put(
-          share.runner(), new RunnerLoads.Load(share.running(), share.unreadPromptTokens()));
+      shares.put(share.runner(), new RunnerLoads.Load(share.running(), share.unreadPromptTokens()));
     }
     if (report.instance().equals(domainName())) {
       unansweredSince = Long.MAX_VALUE;
@@ -136,7 +135,9 @@
     List<PeerMessage.RunnerShare> shares = new ArrayList<>();
     reported.forEach(
         (runner, share) ->
-            shares.add(new PeerMessage.RunnerShare(runner, share.running(), share.pendingPrefillTokens())));
+            shares.add(
+                new PeerMessage.RunnerShare(
+                    runner, share.running(), share.pendingPrefillTokens())));
     return new PeerMessage.RunnerLoadReport(reporter, shares);
   }
 }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RegionalQuotaPolicy.java
@@ -245,7 +245,9 @@
     TokenQuota quota = account.quota().orElseThrow();
     double seen = Math.max(1, holders.count(region()));
     TokenRate rate =
-        tolerance.rate(quota.perSecond(), quota.burst()).scaled(Math.min(1, seen / size.recentMaximum(now)));
+        tolerance
+            .rate(quota.perSecond(), quota.burst())
+            .scaled(Math.min(1, seen / size.recentMaximum(now)));
     return buckets.bucket(account.name(), rate, now);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RequestAttempt.java
@@ -89,7 +89,8 @@
             this);
     this.uncachedTokens =
         terms.prompt().map(prompt -> parts.loads().uncachedTokens(runner.id(), prompt)).orElse(0);
-    this.tokensAhead = parts.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
+    this.tokensAhead =
+        parts.loads().total(runner.id(), sentAt).pendingPrefillTokens() + uncachedTokens;
   }
 
   void start(HttpServerRequest request, Supplier<MultiMap> headers, Buffer content) {
@@ -153,7 +154,7 @@
       parts.notices().leavingReported(runner);
     }
     dialect
-        .quietMilliseconds(received.status(), received.headers())
+        .backoffMilliseconds(received.status(), received.headers())
         .ifPresent(quiet -> parts.notices().backoffRequested(runner, quiet));
   }
 
@@ -221,7 +222,7 @@
     }
     began = true;
     long milliseconds = MonotonicClock.milliseconds() - sentAt;
-    parts.loads().read(runner.id(), uncachedTokens);
+    parts.loads().prefillEnded(runner.id(), uncachedTokens);
     parts.selector().began(runner.id(), milliseconds);
     if (terms.prompt().isPresent()) {
       parts.loads().recordPrefillTime(runner.id(), tokensAhead, milliseconds);
@@ -238,7 +239,7 @@
     released = true;
     parts.vertx().cancelTimer(stallTimer);
     if (!began) {
-      parts.loads().read(runner.id(), uncachedTokens);
+      parts.loads().prefillEnded(runner.id(), uncachedTokens);
     }
     parts.loads().ended(runner.id());
     terms.prompt().ifPresent(prompt -> parts.demand().running(service, prompt, runner.id(), -1));
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerAvailability.java
@@ -78,7 +78,8 @@
    */
   long backoffUntil(RunnerEntry runner, long now) {
     Quiet known = quiet.get(runner.id());
-    boolean current = known != null && known.startTimeMilliseconds() == runner.startTimeMilliseconds();
+    boolean current =
+        known != null && known.startTimeMilliseconds() == runner.startTimeMilliseconds();
     return current ? known.untilMilliseconds() : now;
   }
 
@@ -104,7 +105,9 @@
   private void rest(String runner, long born, long until) {
     Quiet known = quiet.get(runner);
     boolean longer =
-        known != null && known.startTimeMilliseconds() == born && known.untilMilliseconds() >= until;
+        known != null
+            && known.startTimeMilliseconds() == born
+            && known.untilMilliseconds() >= until;
     if (longer) {
       return;
     }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerDirectory.java
@@ -152,7 +152,8 @@
     RunnerEntry before = entries.put(id, entry);
     usableByService.clear();
     contents.put(id, content);
-    boolean newLife = before == null || before.startTimeMilliseconds() != entry.startTimeMilliseconds();
+    boolean newLife =
+        before == null || before.startTimeMilliseconds() != entry.startTimeMilliseconds();
     boolean newState = newLife || before.draining() != entry.draining();
     if (newState) {
       LOGGER.info(
--- a/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/RunnerSelector.java
@@ -76,7 +76,8 @@
     directory.listen(this);
   }
 
-  Selection select(String service, Optional<GenerationParameters> prompt, Set<String> tried, long now) {
+  Selection select(
+      String service, Optional<GenerationParameters> prompt, Set<String> tried, long now) {
     List<RunnerEntry> usable =
         directory.usable(service).stream().filter(entry -> !notices.isLeaving(entry)).toList();
     if (usable.isEmpty()) {
@@ -142,7 +143,8 @@
   }
 
   void began(String runner, long milliseconds) {
-    outliers.firstPartReceived(runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
+    outliers.firstPartReceived(
+        runner, TimeUnit.MILLISECONDS.toNanos(milliseconds), System.nanoTime());
   }
 
   @Override
@@ -171,7 +173,8 @@
     return entries.stream().filter(entry -> !tried.contains(entry.id())).toList();
   }
 
-  private RunnerCandidate candidate(RunnerEntry entry, Optional<GenerationParameters> prompt, long now) {
+  private RunnerCandidate candidate(
+      RunnerEntry entry, Optional<GenerationParameters> prompt, long now) {
     RunnerLoads.Load share = loads.total(entry.id(), now);
     boolean adapterPresent =
         prompt
--- a/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/wire/PlatformDialect.java
@@ -11,4 +11,7 @@
  * @param store talks to the store
  */
 public record PlatformDialect(
-    CallerDialect callers, RunnerDialect runners, StoredObjectDialect knowledge, StoreDialect store) {}
+    CallerDialect callers,
+    RunnerDialect runners,
+    StoredObjectDialect knowledge,
+    StoreDialect store) {}
--- a/daemon/src/main/java/org/agatefield/daemon/http/BufferedAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/BufferedAnswer.java
@@ -17,7 +17,7 @@
   }
 
   @Override
-  public void part(EngineAnswerPart part) {
+  public void accept(EngineAnswerPart part) {
     completeAnswer = part;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/CallerApi.java
@@ -41,15 +41,21 @@
     this.dependencies = dependencies;
     this.authenticator = new CallerAuthenticator(dependencies.configuration());
     this.bodies =
-        new BodyReader(dependencies.vertx(), dependencies.limits().bodyBytes(), dependencies.limits().queuedBytes());
+        new BodyReader(
+            dependencies.vertx(),
+            dependencies.limits().bodyBytes(),
+            dependencies.limits().queuedBytes());
     this.generations = new GenerationHandler(dependencies);
     this.services = new ServiceHandler(dependencies);
     this.directory = new DirectoryHandler(dependencies);
     this.requests = dependencies.metrics().meter("agatefield.callers.requests");
-    dependencies.metrics().gauge("agatefield.callers.held-bytes", () -> (Gauge<Long>) bodies::bufferedBytes);
     dependencies
         .metrics()
-        .gauge("agatefield.callers.running", () -> (Gauge<Integer>) dependencies.shutdown()::running);
+        .gauge("agatefield.callers.held-bytes", () -> (Gauge<Long>) bodies::bufferedBytes);
+    dependencies
+        .metrics()
+        .gauge(
+            "agatefield.callers.running", () -> (Gauge<Integer>) dependencies.shutdown()::running);
   }
 
   /** Adds the routes of the interface. */
@@ -76,9 +82,11 @@
      * Serves the request.
      *
      * @param onCompletion called once when nothing of the request runs any more
-     * @throws AgatefieldException if the request is refused; {@code onCompletion} is not called then
+     * @throws AgatefieldException if the request is refused; {@code onCompletion} is not called
+     *     then
      */
-    void handle(RoutingContext context, RequestAttributes terms, Buffer body, Runnable onCompletion);
+    void handle(
+        RoutingContext context, RequestAttributes terms, Buffer body, Runnable onCompletion);
   }
 
   private void serve(RoutingContext context, BodyHandler handler) {
@@ -97,7 +105,10 @@
     try {
       terms =
           RequestAttributes.read(
-              request, requestId, authenticator.authenticate(request), dependencies.limits().defaultDeadline());
+              request,
+              requestId,
+              authenticator.authenticate(request),
+              dependencies.limits().defaultDeadline());
     } catch (AgatefieldException failure) {
       refuse(context, failure).onComplete(ignored -> requestCompletion.run());
       return;
@@ -128,7 +139,8 @@
     } catch (AgatefieldException failure) {
       refuse(context, failure).onComplete(ignored -> onCompletion.run());
     } catch (RuntimeException exception) {
-      refuse(context, AgatefieldException.from(exception)).onComplete(ignored -> onCompletion.run());
+      refuse(context, AgatefieldException.from(exception))
+          .onComplete(ignored -> onCompletion.run());
     }
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/http/GenerationTask.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/GenerationTask.java
@@ -13,7 +13,8 @@
  * @param path {@code /v1/chat/completions} or {@code /v1/completions}
  * @param body the checked body
  */
-record GenerationTask(RequestAttributes terms, Priority priority, String path, GenerationBody body) {
+record GenerationTask(
+    RequestAttributes terms, Priority priority, String path, GenerationBody body) {
   private static final long SEED_MASK = 0x7FFF_FFFFL;
 
   ModelRequest toModelRequest() {
--- a/daemon/src/main/java/org/agatefield/daemon/http/RequestAttributes.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/RequestAttributes.java
@@ -16,7 +16,8 @@
  * @param priority the priority asked for, limited by what the caller may have
  * @param deadlineNanoseconds when the caller stops waiting, by the monotonic clock
  */
-record RequestAttributes(String requestId, Caller caller, Priority priority, long deadlineNanoseconds) {
+record RequestAttributes(
+    String requestId, Caller caller, Priority priority, long deadlineNanoseconds) {
   private static final String DEADLINE_HEADER = "X-Request-Deadline-Ms";
   private static final String PRIORITY_HEADER = "X-Request-Priority";
   private static final long MAXIMUM_DEADLINE_MILLISECONDS = 24L * 60 * 60 * 1000;
--- a/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/ShutdownCoordinator.java
@@ -48,8 +48,8 @@
    * Creates the coordinator of a serving instance.
    *
    * @param entryTimeToLive how long callers may keep an answer that names this instance
-   * @param propagationAllowance how long other instances may go on naming this one after it has said
-   *     that it leaves
+   * @param propagationAllowance how long other instances may go on naming this one after it has
+   *     said that it leaves
    * @param drainTimeout how long running requests are waited for
    * @param runningCalls the calls that must not repeat whose outcome is not yet written
    */
@@ -179,7 +179,8 @@
   /** Other instances may name this one until they have heard that it leaves. */
   private long lastPossibleEntryAnswer() {
     long lastByOthers = leavingSinceNanoseconds + propagationAllowance.toNanos();
-    boolean ownIsLater = lastEntryAnswerNanoseconds != 0 && lastEntryAnswerNanoseconds - lastByOthers > 0;
+    boolean ownIsLater =
+        lastEntryAnswerNanoseconds != 0 && lastEntryAnswerNanoseconds - lastByOthers > 0;
     return ownIsLater ? lastEntryAnswerNanoseconds : lastByOthers;
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/http/StreamedAnswer.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/StreamedAnswer.java
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public void part(EngineAnswerPart part) {
+  public void accept(EngineAnswerPart part) {
     if (part.finished() || !withheldParts.isEmpty()) {
       withheldParts.add(part);
       return;
--- a/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
+++ b/daemon/src/main/java/org/agatefield/daemon/http/UpstreamServiceClient.java
@@ -67,7 +67,8 @@
   }
 
   /** Sends a call that must not be sent again. */
-  CompletableFuture<ServiceResponse> sendOnce(Address runner, UpstreamServiceRequest upstreamRequest) {
+  CompletableFuture<ServiceResponse> sendOnce(
+      Address runner, UpstreamServiceRequest upstreamRequest) {
     return connect(unpooled, runner, upstreamRequest);
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
+++ b/daemon/src/main/java/org/agatefield/daemon/leases/LeaseManager.java
@@ -241,7 +241,7 @@
         return;
       }
       latestObject = Optional.of(object);
-      state = protocol.written(lease, object.resourceVersion(), sentAt, now);
+      state = protocol.recordWrite(lease, object.resourceVersion(), sentAt, now);
       updateHolding(now);
     }
     schedule(protocol.renewIntervalNanoseconds(), this::act);
--- a/daemon/src/main/java/org/agatefield/daemon/peers/DemandAggregation.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/DemandAggregation.java
@@ -160,12 +160,19 @@
 
   /** Asks one aggregator after the other until one covers most of the members; keeps the best. */
   private CompletableFuture<DemandReport> query(
-      List<Instance> aggregators, int next, DemandScope scope, int members, DemandReport mostComplete) {
+      List<Instance> aggregators,
+      int next,
+      DemandScope scope,
+      int members,
+      DemandReport mostComplete) {
     if (next >= aggregators.size() || 2 * mostComplete.instances() > members) {
       return CompletableFuture.completedFuture(mostComplete);
     }
     return queryOne(aggregators.get(next), scope)
-        .handleAsync((report, failure) -> failure == null ? moreComplete(report, mostComplete) : mostComplete, loop)
+        .handleAsync(
+            (report, failure) ->
+                failure == null ? moreComplete(report, mostComplete) : mostComplete,
+            loop)
         .thenCompose(moreComplete -> query(aggregators, next + 1, scope, members, moreComplete));
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -100,7 +100,7 @@
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       memberChanged(changed.update());
     } else if (action instanceof MembershipAction.GenerationObserved heard) {
-      generationListener.heard(heard.holder(), heard.generation());
+      generationListener.observed(heard.holder(), heard.generation());
     }
   }
 
--- a/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/PeerCoordinator.java
@@ -95,13 +95,14 @@
             settings,
             transport,
             random,
-            () -> leavingUpstreams.take(now()),
+            () -> leavingUpstreams.nextNotices(now()),
             this::generationObserved);
     Supplier<List<Instance>> instances = members::alive;
     this.configuration =
         new ConfigurationSynchronizer(self, loop, transport, source, sink, random, instances);
     this.demand =
-        new DemandAggregation(self, loop, transport, demandSource, instances, random, PeerCoordinator::now);
+        new DemandAggregation(
+            self, loop, transport, demandSource, instances, random, PeerCoordinator::now);
     registerMetrics(metrics);
   }
 
@@ -183,7 +184,7 @@
   }
 
   private void generationObserved(Instance holder, long generation) {
-    configuration.heard(holder, generation);
+    configuration.generationObserved(holder, generation);
   }
 
   private void readList() {
--- a/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
+++ b/daemon/src/main/java/org/agatefield/daemon/placing/PlacementController.java
@@ -27,7 +27,6 @@
 import org.agatefield.placement.ReplicaSize;
 import org.agatefield.placement.RunnerLedger;
 import org.agatefield.placement.RunnerObservation;
-import org.agatefield.placement.ReconciliationStep;
 import org.agatefield.placement.RunnerReconciler;
 import org.agatefield.placement.RunnerView;
 import org.apache.logging.log4j.LogManager;
@@ -205,7 +204,8 @@
         .whenComplete((done, failure) -> operationEnded(runner, state, failure));
   }
 
-  private void take(Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
+  private void take(
+      Upstream runner, RunnerState state, RunnerLedger before, ReconciliationStep step) {
     state.begin();
     long token = heldToken;
     LOGGER.info("placement step upstream={} reason=\"{}\"", runner.name(), step.reason());
@@ -252,7 +252,7 @@
             result != OrderResult.REFUSED_NO_MEMORY,
             () -> runner.name() + " lacked memory that its ledger had reserved: " + order);
     if (result == OrderResult.DONE && order.action() == PlannedOrder.Action.UNLOAD) {
-      ages.unloaded(runner.name(), order.version(), order.fencingToken(), sentNanoseconds);
+      ages.recordUnload(runner.name(), order.version(), order.fencingToken(), sentNanoseconds);
     }
   }
 
--- a/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/forward/EngineControllerTest.java
@@ -18,7 +18,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Supplier;
-import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.OrderOutcome;
 import org.agatefield.daemon.forward.wire.ResponseKind;
 import org.agatefield.daemon.forward.wire.RunnerDialect;
@@ -152,7 +151,11 @@
         () -> {
           control =
               new EngineController(
-                  vertx, vertx.createHttpClient(), new Dialect(), new Granted(), new OutstandingOrders());
+                  vertx,
+                  vertx.createHttpClient(),
+                  new Dialect(),
+                  new Granted(),
+                  new OutstandingOrders());
           control.update(entry, true, 8);
           return null;
         });
--- a/forwarding/src/main/java/org/agatefield/forwarding/AccountTable.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/AccountTable.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * The client accounts of one version of the configuration.
+ * The client accounts of one version of the configuration, indexed by key.
  *
- * <p>Immutable and safe for use by any thread.
+ * <p>Immutable and thread safe.
  */
 public final class AccountTable {
   /** The table of a configuration without accounts: requests need no key. */
@@ -17,7 +17,7 @@
   private final List<ClientAccount> accounts;
   private final Map<KeyDigest, ClientAccount> byKey = new HashMap<>();
 
-  /** Builds the table; of two accounts with the same key the later one holds it. */
+  /** Builds the table; if two accounts list the same key, it belongs to the later one. */
   public AccountTable(List<ClientAccount> accounts) {
     this.accounts = List.copyOf(accounts);
     for (ClientAccount account : accounts) {
@@ -30,12 +30,12 @@
     return accounts;
   }
 
-  /** Returns whether requests have to identify an account. */
+  /** Returns whether requests have to present the key of an account. */
   public boolean requiresKeys() {
     return !accounts.isEmpty();
   }
 
-  /** Returns the account that holds a key. */
+  /** Returns the account that a key belongs to. */
   public Optional<ClientAccount> accountFor(KeyDigest key) {
     return Optional.ofNullable(byKey.get(key));
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/AlwaysSendPolicy.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/AlwaysSendPolicy.java
@@ -1,6 +1,6 @@
 package org.agatefield.forwarding;
 
-/** The baseline: every request is sent at once. Stateless. */
+/** Sends every request at once; used as a baseline. Stateless. */
 public final class AlwaysSendPolicy implements SendPolicy {
   @Override
   public Decision decide(RunnerCandidate candidate, Timing timing) {
--- a/forwarding/src/main/java/org/agatefield/forwarding/EarliestStartChooser.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/EarliestStartChooser.java
@@ -6,28 +6,30 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Chooses the runner whose answer is expected to begin first, with the way there as part of the
- * time.
+ * Chooses the runner whose answer is expected to start first, taking the time to reach the runner
+ * into account.
  *
- * <p>Answers the load pattern of prompts that differ tenfold in size and of runners that are busy
- * reading: the number of requests says little there, the tokens yet to be read say when the next
- * one begins. Runners nearby are preferred by the time that a crossing takes and, as crossings are
- * paid by volume, by a margin beside it. Stateless and safe for use by any thread.
+ * <p>Suited to prompts that differ tenfold in size and to runners that are busy with prefill:
+ * there, the number of requests says little about the load, while the number of tokens pending
+ * prefill determines when the next request can start. Runners in another failure domain are charged
+ * the latency of the crossing and, since traffic between domains is billed by volume, an additional
+ * margin. Stateless and thread safe.
  */
 public final class EarliestStartChooser implements RunnerChooser {
-  // A crossing is worth it when it saves about a tenth of the usual one-second objective.
+  // Crossing domains pays off if it saves about a tenth of the usual one-second objective.
   private static final double DOMAIN_CROSSING_MILLISECONDS = 60;
   private static final double REGION_CROSSING_MILLISECONDS = 250;
-  // One more stream lengthens each step of the others.
+  // Each additional stream lengthens every decoding step of the others.
   private static final double MILLISECONDS_PER_RUNNING_REQUEST = 4;
   private static final double ADAPTER_LOAD_MILLISECONDS = 25;
 
-  // Instances that see the same loads would all choose the same runner otherwise.
+  // Without random ties, instances with the same view of the loads would all choose the same
+  // runner.
   private static final double TIE_MILLISECONDS = 8;
 
   private final UniformRandomProvider random;
 
-  /** Creates a choice that draws among runners that are about equally good. */
+  /** Creates a chooser that draws among runners that are about equally good. */
   public EarliestStartChooser(UniformRandomProvider random) {
     this.random = random;
   }
@@ -53,10 +55,10 @@
           case OTHER_REGION -> REGION_CROSSING_MILLISECONDS;
         };
     double adapter = candidate.adapterPresent() ? 0 : ADAPTER_LOAD_MILLISECONDS;
-    return crossing + candidate.prefillMilliseconds() + adapter + occupancy(candidate);
+    return crossing + candidate.prefillMilliseconds() + adapter + queueingMilliseconds(candidate);
   }
 
-  private static double occupancy(RunnerCandidate candidate) {
+  private static double queueingMilliseconds(RunnerCandidate candidate) {
     if (candidate.millisecondsPerRequest() <= 0) {
       return candidate.running() * MILLISECONDS_PER_RUNNING_REQUEST;
     }
--- a/forwarding/src/main/java/org/agatefield/forwarding/EnginePool.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/EnginePool.java
@@ -6,12 +6,12 @@
 /**
  * The model engines of a service. Immutable.
  *
- * @param batchSlots requests that one engine runs at once
- * @param cacheTokens tokens that one engine's memory holds
+ * @param batchSlots requests that one engine executes concurrently
+ * @param cacheTokens capacity of one engine's KV cache in tokens
  * @param weightsMegabytes memory of one engine for weights and adapters
- * @param adapterSlots adapters that one engine can hold
- * @param loadsPerSecond loads that the weight store allows over all engines
- * @param models the models that may be asked for
+ * @param adapterSlots the maximum number of adapters loaded in one engine
+ * @param loadsPerSecond load operations that the weight store allows over all engines
+ * @param models the models that requests may name
  */
 public record EnginePool(
     int batchSlots,
--- a/forwarding/src/main/java/org/agatefield/forwarding/EventStreamSplitter.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/EventStreamSplitter.java
@@ -7,38 +7,37 @@
 import java.util.Optional;
 
 /**
- * Cuts the bytes of an event stream into whole events, so that no half event is passed on.
+ * Splits the bytes of an event stream into complete events, so that no partial event is passed on.
  *
- * <p>Invariant: the returned events and {@link #remainder()} are the bytes that were fed, in order.
- * Feeding takes time in proportion to the bytes, however long an event is. Not safe for use by
- * several threads.
+ * <p>Invariant: the returned events followed by {@link #remainder()} are the bytes that were fed,
+ * in order. Feeding takes time linear in the number of bytes, however long an event is. Not thread
+ * safe.
  */
 public final class EventStreamSplitter {
   private static final byte[] ID_FIELD = {'i', 'd', ':'};
   private static final byte COMMENT = ':';
-  private static final int INITIAL_BYTES = 512; // several usual events
+  private static final int INITIAL_BYTES = 512; // several events of usual size
   private static final int LONGEST_SEPARATOR = 3;
 
   private byte[] buffer = new byte[INITIAL_BYTES];
   private int length;
-  private int searched;
+  private int searchFrom;
 
   /**
-   * A whole event. Immutable as long as nobody changes the array.
+   * A complete event. Immutable as long as the array is not modified.
    *
-   * @param bytes the event with the empty line that ends it
+   * @param bytes the event including the empty line that ends it
    * @param id the event's identifier, if it has one
-   * @param empty whether it has nothing but comments, which some servers send to keep a connection
-   *     open
+   * @param empty whether it consists only of comments, which some servers send as keep-alives
    */
   public record Event(byte[] bytes, Optional<String> id, boolean empty) {}
 
-  /** Takes further bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events that they complete. */
   public List<Event> feed(byte[] bytes) {
     append(bytes);
     List<Event> events = new ArrayList<>();
     int start = 0;
-    int end = endOfEvent(searched);
+    int end = endOfEvent(searchFrom);
     while (end > 0) {
       byte[] event = Arrays.copyOfRange(buffer, start, end);
       events.add(new Event(event, idOf(event), isEmpty(event)));
@@ -47,16 +46,16 @@
     }
     length -= start;
     System.arraycopy(buffer, start, buffer, 0, length);
-    searched = Math.max(0, length - LONGEST_SEPARATOR);
+    searchFrom = Math.max(0, length - LONGEST_SEPARATOR);
     return events;
   }
 
-  /** Returns the number of bytes of the event that is not whole yet. */
+  /** Returns the number of bytes of the incomplete event. */
   public int remainingBytes() {
     return length;
   }
 
-  /** Returns the bytes of the event that is not whole yet. */
+  /** Returns the bytes of the incomplete event. */
   public byte[] remainder() {
     return Arrays.copyOf(buffer, length);
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/FailureReason.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/FailureReason.java
@@ -1,8 +1,8 @@
 package org.agatefield.forwarding;
 
-/** Why a request failed that may have run. */
+/** Why a request that may have run failed. */
 public enum FailureReason {
-  /** The runner broke off or answered something that is no answer to the request. */
+  /** The runner closed the connection early or its answer was not a valid answer to the request. */
   RUNNER_FAILED,
   /** The deadline or the route's timeout passed while a runner may have been executing it. */
   DEADLINE
--- a/forwarding/src/main/java/org/agatefield/forwarding/FewestRunningChooser.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/FewestRunningChooser.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The baseline: the runner with the fewest requests, wherever it lies. Stateless. */
+/**
+ * Chooses the runner with the fewest running requests, wherever it is located; used as a baseline.
+ * Stateless.
+ */
 public final class FewestRunningChooser implements RunnerChooser {
   @Override
   public Optional<RunnerCandidate> choose(List<RunnerCandidate> candidates) {
--- a/forwarding/src/main/java/org/agatefield/forwarding/ForwardedRequest.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/ForwardedRequest.java
@@ -7,27 +7,31 @@
 import java.util.Set;
 
 /**
- * The life of one request that is passed on to runners, from its arrival to its final answer.
+ * The state machine of one request that is forwarded to runners, from its arrival to its final
+ * answer.
  *
- * <p>Takes events and returns what to do. Invariants over any order of events:
+ * <p>Receives events and returns the actions to take. Invariants for any order of events:
  *
  * <ul>
- *   <li>there is at most one final action, and nothing follows it but a cancellation before it;
- *   <li>a request that must not repeat is sent again only after proof that no attempt before ran;
+ *   <li>there is at most one final action, it is the last action, and only a cancellation may
+ *       precede it in the same list;
+ *   <li>a request that must not be repeated is sent again only after proof that no previous attempt
+ *       ran;
  *   <li>{@link RequestAction.Refuse} is returned only if no attempt may have run;
  *   <li>at most {@code maximumAttempts} attempts may have run, and at most one is open at a time;
- *   <li>events of attempts that are over change nothing.
+ *   <li>events of attempts that are over have no effect.
  * </ul>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread safe.
  */
 public final class ForwardedRequest {
-  private static final int MAXIMUM_SENDS = 6; // rejections are cheap, but each costs a round trip
+  // Rejections are cheap, but each costs a round trip.
+  private static final int MAXIMUM_SENDS = 6;
 
   private final RetryMode retryMode;
   private final int maximumAttempts;
   private final RetryAllowance allowance;
-  private final Set<String> tried = new HashSet<>();
+  private final Set<String> triedRunners = new HashSet<>();
   private Optional<String> resumeAfter;
   private Phase phase = Phase.CHOOSING;
   private String runner = "";
@@ -35,7 +39,7 @@
   private int sends;
   private int possibleRuns;
   private boolean streaming;
-  private boolean repeatedRun;
+  private boolean nextSendRepeats;
 
   private enum Phase {
     CHOOSING,
@@ -44,9 +48,9 @@
   }
 
   /**
-   * Creates the request in the state that {@link #start()} begins.
+   * Creates a request that has not started.
    *
-   * @param lastEventId the event after which the caller wants the stream to go on
+   * @param lastEventId the event after which the caller wants the stream to resume
    */
   public ForwardedRequest(
       RetryMode retryMode,
@@ -59,12 +63,12 @@
     this.allowance = allowance;
   }
 
-  /** Begins. */
+  /** Starts the request. */
   public List<RequestAction> start() {
     return List.of(choose());
   }
 
-  /** A runner was chosen. */
+  /** Handles the choice of a runner. */
   public List<RequestAction> chosen(String chosenRunner) {
     if (phase != Phase.CHOOSING) {
       return List.of();
@@ -76,98 +80,103 @@
     return List.of(new RequestAction.Send(attempt, chosenRunner, resumeAfter));
   }
 
-  /** No runner can take the request. */
+  /** Handles the case that no runner can take the request. */
   public List<RequestAction> notChosen(RefusalReason reason) {
-    return phase == Phase.CHOOSING ? giveUp(reason) : List.of();
+    return phase == Phase.CHOOSING ? refuseOrFail(reason) : List.of();
   }
 
-  /** The runner could not be reached; no byte of the request was sent. */
-  public List<RequestAction> connectFailed(int which) {
-    if (!isOpen(which)) {
+  /** Handles a failed connection to the runner; no byte of the request was sent. */
+  public List<RequestAction> connectFailed(int eventAttempt) {
+    if (!isOpen(eventAttempt)) {
       return List.of();
     }
-    tried.add(runner);
-    return sends < MAXIMUM_SENDS ? List.of(choose()) : giveUp(RefusalReason.NO_RUNNER);
+    triedRunners.add(runner);
+    return sends < MAXIMUM_SENDS ? List.of(choose()) : refuseOrFail(RefusalReason.NO_RUNNER);
   }
 
-  /** The runner proved that it did not and will not run this attempt. */
-  public List<RequestAction> rejected(int which) {
-    if (!isOpen(which)) {
+  /** Handles proof by the runner that it did not and will not run this attempt. */
+  public List<RequestAction> rejected(int eventAttempt) {
+    if (!isOpen(eventAttempt)) {
       return List.of();
     }
-    tried.add(runner);
+    triedRunners.add(runner);
     if (sends >= MAXIMUM_SENDS) {
-      return giveUp(RefusalReason.OVERLOADED);
+      return refuseOrFail(RefusalReason.OVERLOADED);
     }
-    return allowance.tryTake() ? List.of(choose()) : giveUp(RefusalReason.RETRY_BUDGET);
+    return allowance.tryTake() ? List.of(choose()) : refuseOrFail(RefusalReason.RETRY_BUDGET);
   }
 
   /**
-   * The attempt failed and may have run.
+   * Handles the failure of an attempt that may have run.
    *
-   * @param deliverable whether there is an answer that can be passed on as it is
+   * @param deliverable whether there is an answer that can be passed on unchanged
    */
-  public List<RequestAction> failed(int which, boolean deliverable) {
-    if (!isOpen(which)) {
+  public List<RequestAction> failed(int eventAttempt, boolean deliverable) {
+    if (!isOpen(eventAttempt)) {
       return List.of();
     }
     possibleRuns++;
-    tried.add(runner);
+    triedRunners.add(runner);
     if (streaming) {
       return resumeOrAbort();
     }
-    if (retryMode != RetryMode.NEVER && mayRunAgain()) {
+    if (retryMode != RetryMode.NEVER && tryRunAgain()) {
       return List.of(choose());
     }
     if (deliverable) {
       phase = Phase.OVER;
-      return List.of(new RequestAction.Deliver(which));
+      return List.of(new RequestAction.Deliver(eventAttempt));
     }
     return finish(new RequestAction.Fail(FailureReason.RUNNER_FAILED));
   }
 
-  /** The runner has been silent for too long; it is told to stop. */
-  public List<RequestAction> stalled(int which) {
-    if (!isOpen(which) || !canRunAgain()) {
+  /**
+   * Handles a runner that has sent nothing for too long; cancels the attempt if another one is
+   * possible.
+   */
+  public List<RequestAction> stalled(int eventAttempt) {
+    if (!isOpen(eventAttempt) || !canRunAgain()) {
       return List.of();
     }
     List<RequestAction> actions = new ArrayList<>();
-    actions.add(new RequestAction.Cancel(which));
-    actions.addAll(failed(which, false));
+    actions.add(new RequestAction.Cancel(eventAttempt));
+    actions.addAll(failed(eventAttempt, false));
     return actions;
   }
 
-  /** A whole answer came that is to be passed on. */
-  public List<RequestAction> answered(int which) {
-    if (!isOpen(which) || streaming) {
+  /** Handles a complete answer that is to be passed on. */
+  public List<RequestAction> answered(int eventAttempt) {
+    if (!isOpen(eventAttempt) || streaming) {
       return List.of();
     }
-    return finish(new RequestAction.Deliver(which));
+    return finish(new RequestAction.Deliver(eventAttempt));
   }
 
-  /** A whole event of a stream came. */
-  public List<RequestAction> event(int which, Optional<String> eventId) {
-    if (!isOpen(which)) {
+  /** Handles a complete event of a stream. */
+  public List<RequestAction> event(int eventAttempt, Optional<String> eventId) {
+    if (!isOpen(eventAttempt)) {
       return List.of();
     }
     eventId.ifPresent(id -> resumeAfter = Optional.of(id));
     if (streaming) {
-      return List.of(new RequestAction.ContinueStream(which));
+      return List.of(new RequestAction.ContinueStream(eventAttempt));
     }
     streaming = true;
-    return List.of(new RequestAction.BeginStream(which));
+    return List.of(new RequestAction.BeginStream(eventAttempt));
   }
 
-  /** The stream ended as the protocol says. */
-  public List<RequestAction> ended(int which) {
-    if (!isOpen(which)) {
+  /** Handles the end of a stream according to the protocol. */
+  public List<RequestAction> ended(int eventAttempt) {
+    if (!isOpen(eventAttempt)) {
       return List.of();
     }
     return finish(
-        streaming ? new RequestAction.EndStream(which) : new RequestAction.Deliver(which));
+        streaming
+            ? new RequestAction.EndStream(eventAttempt)
+            : new RequestAction.Deliver(eventAttempt));
   }
 
-  /** The deadline or the route's timeout passed. */
+  /** Handles the expiry of the deadline or of the route's timeout. */
   public List<RequestAction> expired() {
     if (phase == Phase.OVER) {
       return List.of();
@@ -187,7 +196,7 @@
     return actions;
   }
 
-  /** The caller closed its connection or cancelled. */
+  /** Handles a caller that closed its connection or cancelled the request. */
   public List<RequestAction> callerGone() {
     if (phase == Phase.OVER) {
       return List.of();
@@ -210,18 +219,18 @@
     return possibleRuns > 0 || phase == Phase.OPEN;
   }
 
-  /** Returns whether the next send repeats a run. */
+  /** Returns whether the next send repeats an attempt that may have run. */
   public boolean nextSendIsRepeat() {
-    return repeatedRun;
+    return nextSendRepeats;
   }
 
-  private boolean isOpen(int which) {
-    return phase == Phase.OPEN && which == attempt;
+  private boolean isOpen(int eventAttempt) {
+    return phase == Phase.OPEN && eventAttempt == attempt;
   }
 
   private RequestAction choose() {
     phase = Phase.CHOOSING;
-    return new RequestAction.Choose(Set.copyOf(tried));
+    return new RequestAction.Choose(Set.copyOf(triedRunners));
   }
 
   private boolean canRunAgain() {
@@ -231,21 +240,21 @@
     return !streaming || (retryMode == RetryMode.RESUME && resumeAfter.isPresent());
   }
 
-  private boolean mayRunAgain() {
+  private boolean tryRunAgain() {
     boolean may = possibleRuns < maximumAttempts && sends < MAXIMUM_SENDS && allowance.tryTake();
-    repeatedRun |= may;
+    nextSendRepeats |= may;
     return may;
   }
 
   private List<RequestAction> resumeOrAbort() {
     boolean resumable = retryMode == RetryMode.RESUME && resumeAfter.isPresent();
-    if (resumable && mayRunAgain()) {
+    if (resumable && tryRunAgain()) {
       return List.of(choose());
     }
     return finish(new RequestAction.AbortStream());
   }
 
-  private List<RequestAction> giveUp(RefusalReason reason) {
+  private List<RequestAction> refuseOrFail(RefusalReason reason) {
     if (streaming) {
       return finish(new RequestAction.AbortStream());
     }
--- a/forwarding/src/main/java/org/agatefield/forwarding/ForwardingTable.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/ForwardingTable.java
@@ -9,10 +9,9 @@
 import java.util.Optional;
 
 /**
- * One version of the operator's routes, services and client accounts.
+ * The routes, services and client accounts of one version of the operator's configuration.
  *
- * <p>Routes of a host are kept with the longest prefix first. Immutable and safe for use by any
- * thread.
+ * <p>The routes of a host are ordered by descending prefix length. Immutable and thread safe.
  */
 public final class ForwardingTable {
   private final long version;
@@ -21,7 +20,7 @@
   private final AccountTable accounts;
   private final IngressLimits limits;
 
-  /** Builds the table; of two routes with the same host and prefix the later one counts. */
+  /** Builds the table; of two routes with the same host and prefix the later one applies. */
   public ForwardingTable(
       long version,
       List<Route> routes,
@@ -41,7 +40,7 @@
     services.forEach(service -> this.services.put(service.name(), service));
   }
 
-  /** Returns the version, which only rises. */
+  /** Returns the version, which never decreases. */
   public long version() {
     return version;
   }
@@ -51,7 +50,7 @@
     return accounts;
   }
 
-  /** Returns the bounds of requests. */
+  /** Returns the limits for incoming requests. */
   public IngressLimits limits() {
     return limits;
   }
@@ -67,7 +66,7 @@
   }
 
   /**
-   * Returns the route with the longest prefix of a path.
+   * Returns the route with the longest prefix that matches a path.
    *
    * @param authority the host as the caller sent it, with or without a port
    * @param path the path without the query
--- a/forwarding/src/main/java/org/agatefield/forwarding/GenerationParameters.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/GenerationParameters.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * What a generation asks of an engine. Immutable.
+ * The parameters of a generation request to an engine. Immutable.
  *
  * @param model the model's name
- * @param adapter the adapter's name, if one is asked for
+ * @param adapter the adapter's name, if one is requested
  * @param promptTokens the size of the prompt
- * @param outputTokens the most tokens to generate
- * @param parts the prompt's parts in order; those before the last are shared with other requests
+ * @param outputTokens the maximum number of tokens to generate
+ * @param parts the parts of the prompt in order; all but the last are shared with other requests
  */
 public record GenerationParameters(
     String model,
@@ -26,8 +26,8 @@
   /**
    * A part of a prompt. Immutable.
    *
-   * @param id equal for equal contents
-   * @param tokens its size
+   * @param id equal for parts with equal contents
+   * @param tokens the size of the part
    */
   public record PromptPart(String id, int tokens) {}
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/IngressLimits.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/IngressLimits.java
@@ -1,15 +1,15 @@
 package org.agatefield.forwarding;
 
 /**
- * Bounds of what a caller may send. Immutable.
+ * Limits for incoming requests and connections. Immutable.
  *
- * @param headerBytes largest request line and headers
- * @param bodyBytes largest body
- * @param headerTimeoutMilliseconds how long the headers may take
- * @param idleTimeoutMilliseconds how long a connection may be idle
+ * @param headerBytes the maximum size of the request line and the headers
+ * @param bodyBytes the maximum size of the body
+ * @param headerTimeoutMilliseconds the time within which the headers must arrive
+ * @param idleTimeoutMilliseconds the time after which an idle connection is closed
  */
 public record IngressLimits(
     int headerBytes, long bodyBytes, long headerTimeoutMilliseconds, long idleTimeoutMilliseconds) {
-  /** Bounds for the time before any configuration is known. */
+  /** The limits that apply until a configuration is loaded. */
   public static final IngressLimits DEFAULTS = new IngressLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/KeyDigest.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/KeyDigest.java
@@ -7,16 +7,16 @@
 import java.util.HexFormat;
 
 /**
- * The SHA-256 digest of a key, so that no process keeps, logs or sends the key itself.
+ * The SHA-256 digest of a key, so that no process stores, logs or sends the key itself.
  *
- * <p>Digests are compared in constant time. Immutable and safe for use by any thread.
+ * <p>Digests are compared in constant time. Immutable and thread safe.
  */
 public final class KeyDigest {
   private static final HexFormat HEX = HexFormat.of();
   private static final int BYTES = 32;
-  // Copied for each key, so that the provider is loaded with the first configuration and not with
-  // the first request.
-  private static final MessageDigest UNUSED = sha256();
+  // Cloned for each key, so that the security provider is loaded with the first configuration and
+  // not during the first request.
+  private static final MessageDigest SHA_256_PROTOTYPE = sha256();
 
   private final byte[] bytes;
 
@@ -27,10 +27,10 @@
   /** Returns the digest of a key as a client or the operator wrote it. */
   public static KeyDigest of(String key) {
     try {
-      MessageDigest digest = (MessageDigest) UNUSED.clone();
+      MessageDigest digest = (MessageDigest) SHA_256_PROTOTYPE.clone();
       return new KeyDigest(digest.digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (CloneNotSupportedException exception) {
-      throw new IllegalStateException("the platform's digests can be copied", exception);
+      throw new IllegalStateException("SHA-256 implementation cannot be cloned", exception);
     }
   }
 
@@ -38,19 +38,20 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException exception) {
-      throw new IllegalStateException("every Java platform has SHA-256", exception);
+      throw new IllegalStateException("SHA-256 is not available on this Java platform", exception);
     }
   }
 
   /**
-   * Reads a digest that {@link #toHex()} wrote.
+   * Parses a digest written by {@link #toHex()}.
    *
-   * @throws IllegalArgumentException if the text is no digest
+   * @throws IllegalArgumentException if the text is not a digest
    */
   public static KeyDigest ofHex(String text) {
     byte[] bytes = HEX.parseHex(text);
     if (bytes.length != BYTES) {
-      throw new IllegalArgumentException("a digest has " + BYTES + " bytes, not " + bytes.length);
+      throw new IllegalArgumentException(
+          "digest must have " + BYTES + " bytes, not " + bytes.length);
     }
     return new KeyDigest(bytes);
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/LoadedModel.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/LoadedModel.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 
 /**
- * A model that a runner holds. Immutable.
+ * A model that is loaded on a runner. Immutable.
  *
  * @param name the model's name
- * @param adapters the adapters of it that the runner holds
+ * @param adapters the adapters of the model that are loaded on the runner
  */
 public record LoadedModel(String name, Set<String> adapters) {
   /** Copies the set. */
--- a/forwarding/src/main/java/org/agatefield/forwarding/RefusalReason.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RefusalReason.java
@@ -2,26 +2,26 @@
 
 /** Why a request was refused without having run. */
 public enum RefusalReason {
-  /** No configuration is known yet. */
+  /** No configuration has been loaded yet. */
   NO_CONFIGURATION,
   /** The service has no runner that could take the request. */
   NO_RUNNER,
-  /** No runner holds the model, and none can have it in time. */
+  /** No runner has the model loaded, and none can load it in time. */
   MODEL_ABSENT,
-  /** Every runner that could take it is full. */
+  /** Every runner that could take the request is fully loaded. */
   OVERLOADED,
-  /** The deadline passed, or will pass before the request can begin. */
+  /** The deadline has passed, or will pass before the request can start. */
   DEADLINE,
-  /** The retry budget is used up. */
+  /** The retry budget is exhausted. */
   RETRY_BUDGET,
   /** This instance is shutting down. */
   SHUTTING_DOWN,
-  /** Too many bytes of request bodies are held. */
+  /** The memory for request bodies is exhausted. */
   MEMORY,
-  /** The client account's key is not, or no longer, in the configuration. */
+  /** The configuration does not, or no longer, contain the client account's key. */
   UNKNOWN_KEY,
   /** The client account has used up its quota. */
   OVER_QUOTA,
-  /** Whether the client account's quota allows the request could not be found out. */
+  /** Whether the client account's quota allows the request could not be determined. */
   QUOTA_UNKNOWN
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RequestMetadata.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RequestMetadata.java
@@ -4,14 +4,14 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller's headers say about a request. Immutable.
+ * The metadata of a request from its headers. Immutable.
  *
- * @param id unique for each try of a caller
- * @param deadlineMilliseconds how long the caller waits, from its sending
- * @param lastEventId the event after which a stream is to go on
- * @param prompt what a generation asks for; empty for a plain request
- * @param tokenUsage the tokens that the request names, if it does
- * @param key the digest of the key that identifies the client account; empty without one
+ * @param id unique for each attempt of a caller
+ * @param deadlineMilliseconds how long the caller waits, measured from when it sent the request
+ * @param lastEventId the event after which a stream is to resume
+ * @param prompt the parameters of a generation; empty for a plain request
+ * @param tokenUsage the declared numbers of tokens, if any
+ * @param key the digest of the key that identifies the client account; empty without a key
  */
 public record RequestMetadata(
     String id,
@@ -21,10 +21,10 @@
     Optional<TokenUsage> tokenUsage,
     Optional<KeyDigest> key) {
   /**
-   * How large a request says that it is. Immutable.
+   * The size that a request declares. Immutable.
    *
    * @param promptTokens the size of the prompt
-   * @param outputTokens the most tokens to generate
+   * @param outputTokens the maximum number of tokens to generate
    */
   public record TokenUsage(int promptTokens, int outputTokens) {}
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RetryAllowance.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RetryAllowance.java
@@ -1,8 +1,8 @@
 package org.agatefield.forwarding;
 
-/** Grants attempts beyond a request's first one. */
+/** Grants additional attempts after the first attempt of a request. */
 @FunctionalInterface
 public interface RetryAllowance {
-  /** Takes one further attempt; returns false if none is left. */
+  /** Takes one additional attempt; returns false if none is available. */
   boolean tryTake();
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RetryMode.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RetryMode.java
@@ -1,11 +1,13 @@
 package org.agatefield.forwarding;
 
-/** How a request may be executed again after an attempt that may have been executed. */
+/** How a request may be run again after an attempt that may have run. */
 public enum RetryMode {
-  /** Not at all. */
+  /** Never. */
   NEVER,
-  /** As a whole, as long as no byte of an answer was delivered. */
+  /** From the start, as long as no byte of an answer was delivered. */
   RESTART,
-  /** As a whole before the first event was delivered, afterwards from the last delivered event. */
+  /**
+   * From the start before the first event was delivered, afterwards from the last delivered event.
+   */
   RESUME
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/Route.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/Route.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * Where requests of a host and path prefix go, and under which terms. Immutable.
+ * Defines where the requests of a host and path prefix are forwarded, and on which terms.
+ * Immutable.
  *
- * @param name the operator's name
+ * @param name the operator's name for the route
  * @param host the host, in lower case and without a port
- * @param pathPrefix begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMilliseconds the longest time that a caller is kept waiting
- * @param objectiveMilliseconds the time within which an answer, or a stream's first event, is
- *     wanted
- * @param gapObjectiveMilliseconds the longest wanted pause between events; 0 if there are none
- * @param priority the rank among routes, 0 is the most urgent
- * @param maximumAttempts how many runners may get one request
- * @param resumable whether a stream may be continued on another runner
+ * @param pathPrefix starts and ends with a slash
+ * @param kind whether requests may be repeated
+ * @param timeoutMilliseconds the maximum time that a caller waits
+ * @param objectiveMilliseconds the target time to the answer or to the first event of a stream
+ * @param gapObjectiveMilliseconds the maximum desired pause between events; 0 if there are no
+ *     events
+ * @param priority the priority among routes; 0 is the most urgent
+ * @param maximumAttempts the maximum number of runners that may run one request
+ * @param resumable whether a stream may be resumed on another runner
  * @param open whether requests need no key
- * @param services where requests go, at least one
+ * @param services the services that requests are forwarded to, at least one
  */
 public record Route(
     String name,
@@ -37,7 +38,7 @@
     services = List.copyOf(services);
   }
 
-  /** Returns how its requests may be repeated. */
+  /** Returns how requests of the route may be run again. */
   public RetryMode retryMode() {
     return switch (kind) {
       case IDEMPOTENT -> RetryMode.RESTART;
@@ -49,7 +50,7 @@
   /**
    * Returns the service for one request.
    *
-   * @param draw evenly distributed from 0 to below 1
+   * @param draw uniformly distributed from 0 (inclusive) to 1 (exclusive)
    */
   public String serviceFor(double draw) {
     double total = services.stream().mapToDouble(WeightedService::weight).sum();
--- a/forwarding/src/main/java/org/agatefield/forwarding/RouteKind.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RouteKind.java
@@ -1,11 +1,11 @@
 package org.agatefield.forwarding;
 
-/** What the operator says about repeating the requests of a route. */
+/** Whether the requests of a route may be run repeatedly, as configured by the operator. */
 public enum RouteKind {
-  /** May be executed any number of times. */
+  /** May be run any number of times. */
   IDEMPOTENT,
-  /** May be executed once at most. */
+  /** May be run at most once. */
   NON_IDEMPOTENT,
-  /** Answered with a stream of events; may be executed once at most unless it can be resumed. */
+  /** Answered with a stream of events; may be run at most once unless it can be resumed. */
   STREAM
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerCandidate.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerCandidate.java
@@ -1,16 +1,16 @@
 package org.agatefield.forwarding;
 
 /**
- * A runner that could take a request, as the choosing instance sees it. Immutable.
+ * A runner that could take a request, with its load as estimated by this instance. Immutable.
  *
  * @param id the runner's identifier
- * @param distance where it lies, seen from this instance
- * @param running requests at it, of all instances as far as known
- * @param slots requests that it runs at once
- * @param pendingPrefillTokens prompt tokens that it has yet to read for requests before this one
- * @param millisecondsPerToken how long it lately took to read a prompt token
- * @param millisecondsPerRequest how long it lately took for a whole plain request
- * @param uncachedPromptTokens prompt tokens of this request that it would have to read
+ * @param distance the distance from this instance
+ * @param running requests running on it, from all instances as far as reported
+ * @param slots requests that it runs concurrently
+ * @param pendingPrefillTokens prompt tokens of earlier requests that it has yet to prefill
+ * @param millisecondsPerToken its recent prefill time per prompt token
+ * @param millisecondsPerRequest its recent service time of a plain request
+ * @param uncachedPromptTokens prompt tokens of this request that it would have to prefill
  * @param adapterPresent whether it has the adapter that the request needs, or none is needed
  */
 public record RunnerCandidate(
@@ -23,17 +23,20 @@
     double millisecondsPerRequest,
     double uncachedPromptTokens,
     boolean adapterPresent) {
-  /** Returns how long the prompts that stand before the answer, this one's included, take. */
+  /**
+   * Returns the time until the prompt of this request has been prefilled, including the prompts of
+   * earlier requests.
+   */
   public double prefillMilliseconds() {
     return (pendingPrefillTokens + uncachedPromptTokens) * millisecondsPerToken;
   }
 
-  /** Returns how long the prompts of requests before this one take. */
+  /** Returns the time to prefill the prompts of earlier requests. */
   public double backlogMilliseconds() {
     return pendingPrefillTokens * millisecondsPerToken;
   }
 
-  /** Where a runner lies, seen from an instance. */
+  /** The distance of a runner from an instance. */
   public enum Distance {
     /** In the instance's failure domain. */
     SAME_DOMAIN,
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerEntry.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerEntry.java
@@ -7,19 +7,19 @@
 import org.agatefield.model.Address;
 
 /**
- * What a runner says of itself in the platform's list. Immutable.
+ * The entry of a runner in the platform's list, as the runner announced itself. Immutable.
  *
- * @param id the runner's identifier; used again by a runner that starts again
- * @param startTimeMilliseconds the wall-clock time of its start; tells two lives of one id apart
+ * @param id the runner's identifier; reused when the runner restarts
+ * @param startTimeMilliseconds the wall-clock time of its start; distinguishes restarts of one id
  * @param service the service that it serves
- * @param address where it listens
+ * @param address the address that it listens on
  * @param failureDomain the name of its failure domain
- * @param slots requests that it runs at once
- * @param draining whether it is leaving and takes no new work
- * @param remainingMilliseconds how long it will still be there, if it said so
- * @param models the models that it holds; empty if it says nothing about models
- * @param inHostMemory models whose weights lie in its host memory
- * @param onDisk models whose weights lie on its disk
+ * @param slots requests that it runs concurrently
+ * @param draining whether it is leaving and accepts no new requests
+ * @param remainingMilliseconds the time until it leaves, if announced
+ * @param models the models that it has loaded; empty if it does not report models
+ * @param inHostMemory models whose weights are in its host memory
+ * @param onDisk models whose weights are on its disk
  */
 public record RunnerEntry(
     String id,
@@ -40,7 +40,7 @@
     onDisk = Set.copyOf(onDisk);
   }
 
-  /** Returns whether it holds a model, as far as it says. */
+  /** Returns whether it reports that a model is loaded. */
   public boolean holds(String model) {
     return models.stream().flatMap(List::stream).anyMatch(held -> held.name().equals(model));
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerLoads.java
@@ -8,33 +8,38 @@
 import org.agatefield.forwarding.GenerationParameters.PromptPart;
 
 /**
- * What is known of the work at each runner: this instance's own, and what neighbours tell.
+ * Tracks the load of each runner: the requests of this instance and the loads that neighbouring
+ * instances report.
  *
- * <p>Invariant: own counts return to zero when every attempt has ended. What a neighbour told is
- * dropped once it is older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Confined to one thread.
+ * <p>Invariant: the counts of this instance return to zero when every attempt has ended. Reports of
+ * a neighbour are dropped once they are older than {@link #MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS}. Not
+ * thread safe.
  */
 public final class RunnerLoads {
-  /** How long what a neighbour told counts; it is told again several times in that time. */
+  /** How long the report of a neighbour counts; it is repeated several times within this time. */
   public static final long MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS = 1_000;
 
   private static final double SMOOTHING = 0.15;
-  // An H100 reads a prompt of a 32-billion model at some 19 tokens a millisecond.
-  private static final double INITIAL_MILLISECONDS_PER_TOKEN = 0.06;
-  private static final double MAXIMUM_MILLISECONDS_PER_TOKEN = 0.3; // five times the usual
-  private static final double MINIMUM_TOKENS = 500; // fewer say little about the rate
-  private static final double FIRST_STEP_MILLISECONDS = 90; // the step after the last piece
+  // An H100 prefills about 19 tokens per millisecond for a model with 32 billion parameters.
+  private static final double INITIAL_PREFILL_MILLISECONDS_PER_TOKEN = 0.06;
+  // Five times the usual value.
+  private static final double MAXIMUM_PREFILL_MILLISECONDS_PER_TOKEN = 0.3;
+  // Shorter prompts say little about the rate.
+  private static final double MINIMUM_MEASURED_TOKENS = 500;
+  // The decoding step that follows the last prefill chunk.
+  private static final double FIRST_DECODE_STEP_MILLISECONDS = 90;
   private static final double INITIAL_MILLISECONDS_PER_REQUEST = 80;
   private static final int CACHED_PARTS_PER_RUNNER = 512;
 
   private final Map<String, OwnLoad> own = new HashMap<>();
-  private final Map<String, NeighbourLoad> neighbours = new HashMap<>();
+  private final Map<String, NeighbourLoad> neighbourLoads = new HashMap<>();
 
   private static final class OwnLoad {
     private int running;
     private int pendingPrefillTokens;
-    private double millisecondsPerToken = INITIAL_MILLISECONDS_PER_TOKEN;
+    private double millisecondsPerToken = INITIAL_PREFILL_MILLISECONDS_PER_TOKEN;
     private double millisecondsPerRequest = INITIAL_MILLISECONDS_PER_REQUEST;
-    private final Map<String, Boolean> recordCachedParts =
+    private final Map<String, Boolean> cachedParts =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1;
 
@@ -46,10 +51,10 @@
   }
 
   /**
-   * Work at one runner. Immutable.
+   * The load of one runner. Immutable.
    *
-   * @param running requests
-   * @param pendingPrefillTokens prompt tokens of requests that have not begun
+   * @param running running requests
+   * @param pendingPrefillTokens prompt tokens of requests whose answers have not started
    */
   public record Load(int running, int pendingPrefillTokens) {
     Load plus(Load other) {
@@ -57,7 +62,7 @@
     }
   }
 
-  private record NeighbourLoad(Map<String, Load> shares, long atMilliseconds) {}
+  private record NeighbourLoad(Map<String, Load> loads, long atMilliseconds) {}
 
   /** Records that a request was sent. */
   public void sent(String runner, int uncachedPromptTokens) {
@@ -66,7 +71,7 @@
     load.pendingPrefillTokens += uncachedPromptTokens;
   }
 
-  /** Records that the runner began to answer, or that the attempt ended before it did. */
+  /** Records that the runner started to answer, or that the attempt ended before it did. */
   public void prefillEnded(String runner, int uncachedPromptTokens) {
     OwnLoad load = load(runner);
     load.pendingPrefillTokens = Math.max(0, load.pendingPrefillTokens - uncachedPromptTokens);
@@ -79,45 +84,47 @@
   }
 
   /**
-   * Learns how fast a runner reads.
+   * Updates the prefill rate of a runner.
    *
-   * @param tokensAhead tokens that stood before the request, its own included
+   * @param tokensAhead tokens that were pending prefill, including those of the request itself
    */
   public void recordPrefillTime(String runner, double tokensAhead, double milliseconds) {
     OwnLoad load = load(runner);
-    double reading = Math.max(0, milliseconds - FIRST_STEP_MILLISECONDS);
+    double prefill = Math.max(0, milliseconds - FIRST_DECODE_STEP_MILLISECONDS);
     double sample =
-        Math.min(MAXIMUM_MILLISECONDS_PER_TOKEN, reading / Math.max(MINIMUM_TOKENS, tokensAhead));
+        Math.min(
+            MAXIMUM_PREFILL_MILLISECONDS_PER_TOKEN,
+            prefill / Math.max(MINIMUM_MEASURED_TOKENS, tokensAhead));
     load.millisecondsPerToken += SMOOTHING * (sample - load.millisecondsPerToken);
   }
 
-  /** Learns how long a runner takes for a plain request. */
+  /** Updates the service time of plain requests on a runner. */
   public void recordRequestTime(String runner, double milliseconds) {
     OwnLoad load = load(runner);
     load.millisecondsPerRequest += SMOOTHING * (milliseconds - load.millisecondsPerRequest);
   }
 
-  /** Remembers the shared parts of a prompt that a runner has read. */
+  /** Records that a runner has cached the shared parts of a prompt. */
   public void recordCachedParts(String runner, GenerationParameters prompt) {
     OwnLoad load = load(runner);
-    StringBuilder chain = new StringBuilder(modelKey(prompt));
-    for (PromptPart part : sharedParts(prompt)) {
-      chain.append('|').append(part.id());
-      load.recordCachedParts.put(chain.toString(), Boolean.TRUE);
+    StringBuilder prefixKey = new StringBuilder(modelKey(prompt));
+    for (PromptPart part : prefixParts(prompt)) {
+      prefixKey.append('|').append(part.id());
+      load.cachedParts.put(prefixKey.toString(), Boolean.TRUE);
     }
   }
 
-  /** Returns how many tokens of a prompt a runner would have to read. */
+  /** Returns how many tokens of a prompt a runner would have to prefill. */
   public int uncachedTokens(String runner, GenerationParameters prompt) {
     OwnLoad load = own.get(runner);
     int tokens = prompt.promptTokens();
     if (load == null) {
       return tokens;
     }
-    StringBuilder chain = new StringBuilder(modelKey(prompt));
-    for (PromptPart part : sharedParts(prompt)) {
-      chain.append('|').append(part.id());
-      if (!load.recordCachedParts.containsKey(chain.toString())) {
+    StringBuilder prefixKey = new StringBuilder(modelKey(prompt));
+    for (PromptPart part : prefixParts(prompt)) {
+      prefixKey.append('|').append(part.id());
+      if (!load.cachedParts.containsKey(prefixKey.toString())) {
         break;
       }
       tokens -= part.tokens();
@@ -125,89 +132,98 @@
     return Math.max(0, tokens);
   }
 
-  /** Takes in what a neighbour has at runners. */
-  public void updateNeighbour(String neighbour, Map<String, Load> shares, long nowMilliseconds) {
-    neighbours.put(neighbour, new NeighbourLoad(Map.copyOf(shares), nowMilliseconds));
+  /** Replaces the reported load of a neighbour's requests. */
+  public void updateNeighbour(String neighbour, Map<String, Load> loads, long nowMilliseconds) {
+    neighbourLoads.put(neighbour, new NeighbourLoad(Map.copyOf(loads), nowMilliseconds));
   }
 
-  /** Takes in what all others have at runners, in place of what each of them told before. */
-  public void replaceNeighbours(String relay, Map<String, Load> shares, long nowMilliseconds) {
-    neighbours.clear();
-    updateNeighbour(relay, shares, nowMilliseconds);
+  /** Replaces the reports of all neighbours with one combined report from {@code relay}. */
+  public void replaceNeighbours(String relay, Map<String, Load> loads, long nowMilliseconds) {
+    neighbourLoads.clear();
+    updateNeighbour(relay, loads, nowMilliseconds);
   }
 
-  /** Returns this instance's own work, for runners that have any. */
+  /** Returns the load of this instance's requests, for runners that have any. */
   public Map<String, Load> ownLoads() {
-    Map<String, Load> shares = new HashMap<>();
+    Map<String, Load> loads = new HashMap<>();
     own.forEach(
         (runner, load) -> {
           if (load.running > 0) {
-            shares.put(runner, new Load(load.running, load.pendingPrefillTokens));
+            loads.put(runner, new Load(load.running, load.pendingPrefillTokens));
           }
         });
-    return shares;
+    return loads;
   }
 
-  /** Returns the work of this instance and of some neighbours, for runners that have any. */
+  /**
+   * Returns the combined load of this instance and the given neighbours, for runners that have any.
+   */
   public Map<String, Load> loadsWith(Collection<String> neighbourIds, long nowMilliseconds) {
-    Map<String, Load> shares = ownLoads();
+    Map<String, Load> loads = ownLoads();
     for (String id : neighbourIds) {
-      NeighbourLoad load = neighbours.get(id);
-      if (load == null || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
+      NeighbourLoad load = neighbourLoads.get(id);
+      if (load == null
+          || nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS) {
         continue;
       }
-      load.shares().forEach((runner, share) -> shares.merge(runner, share, Load::plus));
+      load.loads().forEach((runner, runnerLoad) -> loads.merge(runner, runnerLoad, Load::plus));
     }
-    return shares;
+    return loads;
   }
 
-  /** Returns the work of this instance and of all that told theirs, for runners that have any. */
+  /**
+   * Returns the combined load of this instance and all neighbours with a recent report, for runners
+   * that have any.
+   */
   public Map<String, Load> allLoads(long nowMilliseconds) {
-    return loadsWith(neighbours.keySet(), nowMilliseconds);
+    return loadsWith(neighbourLoads.keySet(), nowMilliseconds);
   }
 
-  /** Returns the work of this instance and of all others that told theirs, but for one of them. */
+  /**
+   * Returns the combined load of this instance and all neighbours with a recent report except one.
+   */
   public Map<String, Load> loadsExcept(String neighbourId, long nowMilliseconds) {
     List<String> others =
-        neighbours.keySet().stream().filter(id -> !id.equals(neighbourId)).toList();
+        neighbourLoads.keySet().stream().filter(id -> !id.equals(neighbourId)).toList();
     return loadsWith(others, nowMilliseconds);
   }
 
-  /** Returns the work at a runner, of this instance and its neighbours. */
+  /** Returns the combined load of this instance and its neighbours on a runner. */
   public Load total(String runner, long nowMilliseconds) {
-    neighbours
+    neighbourLoads
         .values()
-        .removeIf(load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
-    OwnLoad mine = own.get(runner);
-    int running = mine == null ? 0 : mine.running;
-    int unread = mine == null ? 0 : mine.pendingPrefillTokens;
-    for (NeighbourLoad load : neighbours.values()) {
-      Load share = load.shares().get(runner);
-      if (share != null) {
-        running += share.running();
-        unread += share.pendingPrefillTokens();
+        .removeIf(
+            load -> nowMilliseconds - load.atMilliseconds() > MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS);
+    OwnLoad ownLoad = own.get(runner);
+    int running = ownLoad == null ? 0 : ownLoad.running;
+    int pending = ownLoad == null ? 0 : ownLoad.pendingPrefillTokens;
+    for (NeighbourLoad load : neighbourLoads.values()) {
+      Load runnerLoad = load.loads().get(runner);
+      if (runnerLoad != null) {
+        running += runnerLoad.running();
+        pending += runnerLoad.pendingPrefillTokens();
       }
     }
-    return new Load(running, unread);
+    return new Load(running, pending);
   }
 
-  /** Returns how long a runner lately took to read a prompt token. */
+  /** Returns the recent prefill time per prompt token of a runner. */
   public double millisecondsPerToken(String runner) {
     OwnLoad load = own.get(runner);
-    return load == null ? INITIAL_MILLISECONDS_PER_TOKEN : load.millisecondsPerToken;
+    return load == null ? INITIAL_PREFILL_MILLISECONDS_PER_TOKEN : load.millisecondsPerToken;
   }
 
-  /** Returns how long a runner lately took for a plain request. */
+  /** Returns the recent service time of plain requests on a runner. */
   public double millisecondsPerRequest(String runner) {
     OwnLoad load = own.get(runner);
     return load == null ? INITIAL_MILLISECONDS_PER_REQUEST : load.millisecondsPerRequest;
   }
 
-  /** Forgets a runner that is gone, or what it kept in an earlier life. */
+  /** Clears the cached parts of a runner that restarted or left. */
   public void clearCachedParts(String runner) {
     OwnLoad load = own.get(runner);
     if (load != null) {
-      load.recordCachedParts.clear();
+      load.cachedParts.clear();
     }
   }
 
@@ -215,7 +231,7 @@
     return prompt.model() + '/' + prompt.adapter().orElse("");
   }
 
-  private static List<PromptPart> sharedParts(GenerationParameters prompt) {
+  private static List<PromptPart> prefixParts(GenerationParameters prompt) {
     List<PromptPart> parts = prompt.parts();
     return parts.subList(0, Math.max(0, parts.size() - 1));
   }
--- a/forwarding/src/main/java/org/agatefield/forwarding/RunnerReport.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/RunnerReport.java
@@ -4,15 +4,15 @@
 import java.util.Set;
 
 /**
- * What a model runner answers when asked for its state; some hundred milliseconds old. Immutable.
+ * The state that a model runner reports on request; some hundred milliseconds old. Immutable.
  *
  * @param startTimeMilliseconds the wall-clock time of its start
- * @param models the models that it holds
- * @param loadingAdapters adapters on their way to it, written as {@code model/adapter}
- * @param busy whether it carries out an order for a model
- * @param acceptedOrders how many orders it accepted since its start
- * @param inHostMemory models whose weights lie in its host memory
- * @param onDisk models whose weights lie on its disk
+ * @param models the models that it has loaded
+ * @param loadingAdapters adapters that are being loaded, written as {@code model/adapter}
+ * @param busy whether it is executing an order for a model
+ * @param acceptedOrders the number of orders accepted since its start
+ * @param inHostMemory models whose weights are in its host memory
+ * @param onDisk models whose weights are on its disk
  */
 public record RunnerReport(
     long startTimeMilliseconds,
--- a/forwarding/src/main/java/org/agatefield/forwarding/SendPolicy.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/SendPolicy.java
@@ -1,30 +1,30 @@
 package org.agatefield.forwarding;
 
-/** Decides whether a request is sent to the best runner there is. */
+/** Decides whether a request is sent to the best available runner. */
 public interface SendPolicy {
   /**
    * Decides about one request.
    *
    * @param candidate the best runner
-   * @param timing how urgent the request is now
+   * @param timing the urgency of the request now
    */
   Decision decide(RunnerCandidate candidate, Timing timing);
 
   /**
-   * How urgent a request is. Immutable.
+   * The urgency of a request. Immutable.
    *
-   * @param objectiveMilliseconds how soon after its arrival the answer should begin
-   * @param objectiveLeftMilliseconds what is left of that; 0 if the answer will be late
-   * @param remainingMilliseconds how long the caller still waits
+   * @param objectiveMilliseconds the target time from arrival to the start of the answer
+   * @param objectiveLeftMilliseconds the time left until that target; 0 if the answer will be late
+   * @param remainingMilliseconds the time that the caller will still wait
    */
   record Timing(
       long objectiveMilliseconds, long objectiveLeftMilliseconds, long remainingMilliseconds) {}
 
-  /** What to do with a request. */
+  /** The decision about a request. */
   enum Decision {
     /** Send it now. */
     SEND,
-    /** Let it wait here. */
+    /** Keep it waiting at this instance. */
     WAIT,
     /** Refuse it now. */
     REFUSE
--- a/forwarding/src/main/java/org/agatefield/forwarding/ServedModel.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/ServedModel.java
@@ -1,14 +1,14 @@
 package org.agatefield.forwarding;
 
 /**
- * A model that a service's engines can load. Immutable.
+ * A model that the engines of a service can load. Immutable.
  *
  * @param name the model's name
- * @param weightsMegabytes memory that its weights take
- * @param storeLoadMilliseconds time to load from the weight store
- * @param diskLoadMilliseconds time to load from the runner's disk
- * @param memoryLoadMilliseconds time to load from the runner's host memory
- * @param adapterMegabytes memory that each of its adapters takes
+ * @param weightsMegabytes memory for its weights
+ * @param storeLoadMilliseconds time to load it from the weight store
+ * @param diskLoadMilliseconds time to load it from the runner's disk
+ * @param memoryLoadMilliseconds time to load it from the runner's host memory
+ * @param adapterMegabytes memory for each of its adapters
  */
 public record ServedModel(
     String name,
--- a/forwarding/src/main/java/org/agatefield/forwarding/StartInTimePolicy.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/StartInTimePolicy.java
@@ -1,35 +1,39 @@
 package org.agatefield.forwarding;
 
 /**
- * Sends a request only to a runner that can begin it in time, and refuses what none can.
+ * Sends a request only to a runner that can start it in time, and refuses requests that no runner
+ * can.
  *
- * <p>Answers the load pattern of a model that is asked for faster than its runners read: a runner
- * that gets everything finishes nothing before its deadline, and one that gets all that it can
- * finish answers each request late. A request that will be late is sent only while the runner's
- * backlog leaves room for those that can still be in time; otherwise it waits for a replica that is
- * being made, and is refused once that would take too long. Stateless and safe for use by any
- * thread.
+ * <p>Applies to a model whose requests arrive faster than its runners can process their prompts: a
+ * runner that is sent every request completes none before its deadline, and a runner that is sent
+ * as many as it can complete answers each of them late. A request that will miss its objective is
+ * sent only while the runner's backlog leaves room for requests that can still meet theirs.
+ * Otherwise it waits for a replica that is being loaded, and is refused once that would take too
+ * long. Stateless and thread safe.
  */
 public final class StartInTimePolicy implements SendPolicy {
-  // Beyond this backlog only short prompts could be in time, and long ones would be refused.
-  private static final double BACKLOG_SHARE_OF_OBJECTIVE = 0.75;
-  // A late request takes what is soon to be idle.
-  private static final double LATE_BACKLOG_SHARE_OF_OBJECTIVE = 0.3;
-  private static final double HOPELESS_SHARE_OF_REMAINING = 0.5; // the rest is for the answer
+  // With a longer backlog only short prompts could start in time and long ones would be refused.
+  private static final double MAXIMUM_BACKLOG_SHARE = 0.75;
+  // A request that is already late is sent only to a runner that will soon be idle.
+  private static final double MAXIMUM_BACKLOG_SHARE_FOR_LATE_REQUESTS = 0.3;
+  // The rest of the remaining time is needed to generate the answer.
+  private static final double MAXIMUM_PREFILL_SHARE_OF_REMAINING = 0.5;
 
   @Override
   public Decision decide(RunnerCandidate candidate, Timing timing) {
-    double begin = candidate.prefillMilliseconds();
-    double backlog = candidate.backlogMilliseconds() / timing.objectiveMilliseconds();
+    double prefill = candidate.prefillMilliseconds();
+    double backlogShare = candidate.backlogMilliseconds() / timing.objectiveMilliseconds();
     boolean inTime =
-        begin <= Math.min(timing.objectiveLeftMilliseconds(), timing.remainingMilliseconds())
-            && backlog <= BACKLOG_SHARE_OF_OBJECTIVE;
-    boolean useful =
-        begin <= timing.remainingMilliseconds() && backlog <= LATE_BACKLOG_SHARE_OF_OBJECTIVE;
-    if (inTime || useful) {
+        prefill <= Math.min(timing.objectiveLeftMilliseconds(), timing.remainingMilliseconds())
+            && backlogShare <= MAXIMUM_BACKLOG_SHARE;
+    boolean acceptableLate =
+        prefill <= timing.remainingMilliseconds()
+            && backlogShare <= MAXIMUM_BACKLOG_SHARE_FOR_LATE_REQUESTS;
+    if (inTime || acceptableLate) {
       return Decision.SEND;
     }
-    boolean hopeless = begin > HOPELESS_SHARE_OF_REMAINING * timing.remainingMilliseconds();
+    boolean hopeless =
+        prefill > MAXIMUM_PREFILL_SHARE_OF_REMAINING * timing.remainingMilliseconds();
     return hopeless ? Decision.REFUSE : Decision.WAIT;
   }
 }
--- a/forwarding/src/main/java/org/agatefield/forwarding/TokenQuota.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/TokenQuota.java
@@ -1,23 +1,23 @@
 package org.agatefield.forwarding;
 
 /**
- * How much work a client account may ask for. Immutable.
+ * The quota of a client account. Immutable.
  *
- * @param perSecond tokens, or requests if {@code unit} says so, that are earned each second
- * @param burst what may be asked for at once beside that
- * @param unit what is counted
- * @param plainTokens what a request counts that names no tokens
+ * @param perSecond tokens, or requests depending on {@code unit}, earned per second
+ * @param burst additional tokens or requests that may be used at once
+ * @param unit the unit of the quota
+ * @param plainTokens the cost of a request that declares no tokens
  */
 public record TokenQuota(double perSecond, double burst, Unit unit, int plainTokens) {
-  /** What a quota counts. */
+  /** The unit of a quota. */
   public enum Unit {
-    /** Each request counts one. */
+    /** Each request costs one. */
     REQUESTS,
-    /** A request counts its prompt tokens and the most tokens that it may generate. */
+    /** A request costs its prompt tokens plus the maximum number of tokens that it may generate. */
     TOKENS
   }
 
-  /** Returns what a request counts. */
+  /** Returns the cost of a request in the unit of the quota. */
   public double cost(RequestMetadata terms) {
     if (unit == Unit.REQUESTS) {
       return 1;
--- a/forwarding/src/main/java/org/agatefield/forwarding/WeightedService.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/WeightedService.java
@@ -1,7 +1,7 @@
 package org.agatefield.forwarding;
 
 /**
- * A service that gets a share of a route's requests. Immutable.
+ * A service with its share of a route's requests. Immutable.
  *
  * @param service the service's name
  * @param weight its share relative to the other services of the route, at least 0
--- a/forwarding/src/main/java/org/agatefield/forwarding/package-info.java
+++ b/forwarding/src/main/java/org/agatefield/forwarding/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Decisions about a request that is passed on unchanged: its route, its attempts, its runner.
+ * Decides how requests are forwarded unchanged: their routes, attempts and runners.
  *
- * <p>No input or output, no thread and no clock; the embedding program hands in events and times.
+ * <p>Nothing here performs I/O, starts threads or reads clocks: the embedding program passes in
+ * events and times.
  */
 package org.agatefield.forwarding;
--- a/forwarding/src/test/java/org/agatefield/forwarding/AccountTableTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/AccountTableTest.java
@@ -25,7 +25,7 @@
     return new ClientAccount(name, digests, OptionalInt.empty(), Optional.of(QUOTA));
   }
 
-  private static RequestMetadata terms(Optional<TokenUsage> usage) {
+  private static RequestMetadata metadata(Optional<TokenUsage> usage) {
     return new RequestMetadata(
         "id", OptionalLong.empty(), Optional.empty(), Optional.empty(), usage, Optional.empty());
   }
@@ -39,13 +39,13 @@
   }
 
   @Test
-  void accountWithoutKeysStillMakesKeysNecessary() {
+  void accountsRequireKeysEvenIfNoneHasKey() {
     assertTrue(new AccountTable(List.of(account("a"))).requiresKeys());
     assertFalse(AccountTable.NONE.requiresKeys());
   }
 
   @Test
-  void digestIsReadBackAndNeverShown() {
+  void digestIsParsedFromHexAndHiddenInToString() {
     KeyDigest digest = KeyDigest.of("secret");
     assertEquals(digest, KeyDigest.ofHex(digest.toHex()));
     assertNotEquals(digest, KeyDigest.of(digest.toHex()));
@@ -54,10 +54,10 @@
   }
 
   @Test
-  void requestCountsItsTokensOrThePlainCost() {
-    assertEquals(2_392, QUOTA.cost(terms(Optional.of(new TokenUsage(2_368, 24)))));
-    assertEquals(200, QUOTA.cost(terms(Optional.empty())));
+  void requestCostsItsTokensOrThePlainCost() {
+    assertEquals(2_392, QUOTA.cost(metadata(Optional.of(new TokenUsage(2_368, 24)))));
+    assertEquals(200, QUOTA.cost(metadata(Optional.empty())));
     TokenQuota requests = new TokenQuota(5, 5, TokenQuota.Unit.REQUESTS, 200);
-    assertEquals(1, requests.cost(terms(Optional.of(new TokenUsage(2_368, 24)))));
+    assertEquals(1, requests.cost(metadata(Optional.of(new TokenUsage(2_368, 24)))));
   }
 }
--- a/forwarding/src/test/java/org/agatefield/forwarding/EventStreamSplitterTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/EventStreamSplitterTest.java
@@ -27,26 +27,26 @@
   }
 
   @Property(tries = 2_000, seed = "815")
-  void eventsAndRemainderAreWhatWasFedHoweverItIsCut(
+  void eventsAndRemainderEqualTheInputHoweverItIsSplit(
       @ForAll("streams") String stream, @ForAll("pieces") List<Integer> pieces) {
     byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
     EventStreamSplitter splitter = new EventStreamSplitter();
-    ByteArrayOutputStream seen = new ByteArrayOutputStream();
+    ByteArrayOutputStream returned = new ByteArrayOutputStream();
     int from = 0;
     int index = 0;
     while (from < bytes.length) {
       int to = Math.min(bytes.length, from + pieces.get(index++ % pieces.size()));
       splitter
           .feed(java.util.Arrays.copyOfRange(bytes, from, to))
-          .forEach(event -> seen.writeBytes(event.bytes()));
+          .forEach(event -> returned.writeBytes(event.bytes()));
       from = to;
     }
-    seen.writeBytes(splitter.remainder());
-    assertArrayEquals(bytes, seen.toByteArray());
+    returned.writeBytes(splitter.remainder());
+    assertArrayEquals(bytes, returned.toByteArray());
   }
 
   @Property(tries = 500, seed = "816")
-  void theSameEventsAreFoundHoweverTheStreamIsCut(@ForAll("pieces") List<Integer> pieces) {
+  void sameEventsAreReturnedHoweverTheStreamIsSplit(@ForAll("pieces") List<Integer> pieces) {
     byte[] bytes = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n".getBytes();
     EventStreamSplitter splitter = new EventStreamSplitter();
     List<Optional<String>> identifiers = new ArrayList<>();
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void halfAnEventStaysInTheRemainder() {
+  void incompleteEventStaysInTheRemainder() {
     EventStreamSplitter splitter = new EventStreamSplitter();
     assertEquals(1, splitter.feed("id: 1\n\nid: 2\nda".getBytes()).size());
     assertEquals("id: 2\nda", new String(splitter.remainder(), StandardCharsets.UTF_8));
--- a/forwarding/src/test/java/org/agatefield/forwarding/ForwardedRequestTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/ForwardedRequestTest.java
@@ -18,11 +18,13 @@
 import org.junit.jupiter.api.Test;
 
 class ForwardedRequestTest {
-  /** What a runner, a caller or the clock does next; attempts may be current or over. */
+  /**
+   * The next event from a runner, the caller or the clock, for the current or the previous attempt.
+   */
   enum Step {
     CHOSEN,
     NOT_CHOSEN,
-    UNREACHED,
+    CONNECT_FAILED,
     REJECTED,
     FAILED,
     FAILED_DELIVERABLE,
@@ -43,7 +45,7 @@
   }
 
   @Property(tries = 3_000, seed = "4711")
-  void everyInterleavingKeepsThePromises(
+  void everyOrderOfEventsKeepsTheInvariants(
       @ForAll RetryMode retryMode,
       @ForAll("steps") List<Step> steps,
       @ForAll("attempts") int maximumAttempts,
@@ -51,9 +53,9 @@
     ForwardedRequest request =
         new ForwardedRequest(retryMode, maximumAttempts, Optional.empty(), () -> allowed);
     Trace trace = new Trace(retryMode, maximumAttempts);
-    trace.take(request.start());
+    trace.observe(request.start());
     for (Step step : steps) {
-      trace.take(apply(request, step, trace), step);
+      trace.observe(apply(request, step, trace), step);
     }
   }
 
@@ -68,7 +70,7 @@
     return switch (step) {
       case CHOSEN -> request.chosen("runner-" + trace.attempt);
       case NOT_CHOSEN -> request.notChosen(RefusalReason.OVERLOADED);
-      case UNREACHED -> request.connectFailed(open);
+      case CONNECT_FAILED -> request.connectFailed(open);
       case REJECTED -> request.rejected(open);
       case FAILED -> request.failed(open, false);
       case FAILED_DELIVERABLE -> request.failed(open, true);
@@ -84,7 +86,7 @@
     };
   }
 
-  /** Follows the actions and checks the invariants independently of the implementation. */
+  /** Tracks the actions and checks the invariants independently of the implementation. */
   private static final class Trace {
     private final RetryMode retryMode;
     private final int maximumAttempts;
@@ -100,17 +102,17 @@
       this.maximumAttempts = maximumAttempts;
     }
 
-    void take(List<RequestAction> actions) {
-      take(actions, Step.CHOSEN);
+    void observe(List<RequestAction> actions) {
+      observe(actions, Step.CHOSEN);
     }
 
-    void take(List<RequestAction> actions, Step step) {
-      if (!actions.isEmpty() && (step == Step.UNREACHED || step == Step.REJECTED)) {
+    void observe(List<RequestAction> actions, Step step) {
+      if (!actions.isEmpty() && (step == Step.CONNECT_FAILED || step == Step.REJECTED)) {
         mayHaveRun.remove(attempt);
         open = false;
       }
       for (RequestAction action : actions) {
-        assertFalse(over, "nothing follows the final action");
+        assertFalse(over, "action after the final action");
         check(action);
       }
     }
@@ -119,9 +121,10 @@
       if (action instanceof RequestAction.Send send) {
         boolean mayRepeat = retryMode != RetryMode.NEVER;
         assertTrue(mayHaveRun.isEmpty() || mayRepeat, "sent again though it may have run");
-        assertFalse(open, "two attempts are open");
+        assertFalse(open, "two attempts open at once");
         if (streaming) {
-          assertTrue(send.resumeAfter().isPresent(), "a stream that began was started anew");
+          assertTrue(
+              send.resumeAfter().isPresent(), "stream restarted after events were delivered");
         }
         attempt = send.attempt();
         mayHaveRun.add(attempt);
@@ -132,11 +135,11 @@
         assertFalse(streaming, "refused after events were delivered");
       } else if (action instanceof RequestAction.BeginStream
           || action instanceof RequestAction.ContinueStream) {
-        assertTrue(open, "an event of an attempt that is over");
+        assertTrue(open, "event delivered for an attempt that is over");
         streaming = true;
         events++;
       } else if (action instanceof RequestAction.Deliver) {
-        assertFalse(streaming, "a whole answer after events");
+        assertFalse(streaming, "complete answer delivered after events");
       } else {
         open = action instanceof RequestAction.EndStream && open;
       }
@@ -148,7 +151,7 @@
   }
 
   @Test
-  void theOnlyRunOfBookingIsNotRepeatedAfterReset() {
+  void requestThatMustNotRepeatIsNotSentAgainAfterFailure() {
     ForwardedRequest request =
         new ForwardedRequest(RetryMode.NEVER, 2, Optional.empty(), () -> true);
     request.start();
@@ -158,7 +161,7 @@
   }
 
   @Test
-  void rejectedBookingGoesToAnotherRunner() {
+  void rejectedRequestThatMustNotRepeatIsSentToAnotherRunner() {
     ForwardedRequest request =
         new ForwardedRequest(RetryMode.NEVER, 1, Optional.empty(), () -> true);
     request.start();
@@ -167,7 +170,7 @@
   }
 
   @Test
-  void brokenStreamGoesOnAfterItsLastEvent() {
+  void brokenStreamResumesAfterItsLastEvent() {
     ForwardedRequest request =
         new ForwardedRequest(RetryMode.RESUME, 2, Optional.empty(), () -> true);
     request.start();
@@ -179,7 +182,7 @@
   }
 
   @Test
-  void streamThatCannotGoOnIsBrokenOffRatherThanEnded() {
+  void streamThatCannotResumeIsAbortedInsteadOfEnded() {
     ForwardedRequest request =
         new ForwardedRequest(RetryMode.NEVER, 1, Optional.empty(), () -> true);
     request.start();
@@ -189,7 +192,7 @@
   }
 
   @Test
-  void anExpiredRequestThatWasNeverSentIsRefusedAsNotRun() {
+  void expiredRequestThatWasNeverSentIsRefusedAsNotRun() {
     ForwardedRequest request =
         new ForwardedRequest(RetryMode.NEVER, 1, Optional.empty(), () -> true);
     request.start();
@@ -197,7 +200,7 @@
   }
 
   @Test
-  void withoutBudgetRejectionIsPassedOnAsRefusal() {
+  void rejectedRequestIsRefusedIfTheRetryBudgetIsExhausted() {
     List<RequestAction> actions = new ArrayList<>();
     ForwardedRequest request =
         new ForwardedRequest(RetryMode.RESTART, 2, Optional.empty(), () -> false);
--- a/forwarding/src/test/java/org/agatefield/forwarding/ForwardingTableTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/ForwardingTableTest.java
@@ -32,18 +32,18 @@
   }
 
   @Test
-  void theLongestPrefixWins() {
+  void longestPrefixMatches() {
     assertEquals("long", table.match("spares.example", "/a/b/c").orElseThrow().name());
     assertEquals("short", table.match("spares.example", "/a/c").orElseThrow().name());
   }
 
   @Test
-  void thePortAndTheCaseOfTheHostDoNotMatter() {
+  void portAndCaseOfTheHostAreIgnored() {
     assertTrue(table.match("Spares.Example:8149", "/a/").isPresent());
   }
 
   @Test
-  void pathThatOnlyLooksLikeThePrefixHasNoRoute() {
+  void pathOrHostWithoutRouteDoesNotMatch() {
     assertTrue(table.match("spares.example", "/ab").isEmpty());
     assertTrue(table.match("other.example", "/a/").isEmpty());
   }
--- a/forwarding/src/test/java/org/agatefield/forwarding/RetryDelayTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/RetryDelayTest.java
@@ -7,12 +7,12 @@
 
 class RetryDelayTest {
   @Test
-  void callersOfMissingModelReturnWhenItIsThere() {
+  void callersOfMissingModelRetryWhenItIsExpected() {
     assertEquals(2_700, RetryDelay.milliseconds(RefusalReason.MODEL_ABSENT, 2_700));
   }
 
   @Test
-  void callersOfBusyModelStayAwayLongerThanThoseOfInstanceThatLeaves() {
+  void callersOfBusyModelWaitLongerThanCallersOfLeavingInstance() {
     long busy = RetryDelay.milliseconds(RefusalReason.OVERLOADED, 0);
     long leaving = RetryDelay.milliseconds(RefusalReason.SHUTTING_DOWN, 0);
     assertTrue(busy > leaving);
--- a/forwarding/src/test/java/org/agatefield/forwarding/RunnerLoadsTest.java
+++ b/forwarding/src/test/java/org/agatefield/forwarding/RunnerLoadsTest.java
@@ -23,12 +23,12 @@
   private final RunnerLoads loads = new RunnerLoads();
 
   @Test
-  void workOfNeighboursCountsUntilItIsOld() {
+  void reportsOfNeighboursCountUntilTheyExpire() {
     loads.sent("r", 100);
     loads.updateNeighbour("n", Map.of("r", new RunnerLoads.Load(2, 700)), 0);
     assertEquals(new RunnerLoads.Load(3, 800), loads.total("r", 500));
-    long old = RunnerLoads.MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS + 1;
-    assertEquals(new RunnerLoads.Load(1, 100), loads.total("r", old));
+    long expired = RunnerLoads.MAXIMUM_NEIGHBOUR_AGE_MILLISECONDS + 1;
+    assertEquals(new RunnerLoads.Load(1, 100), loads.total("r", expired));
   }
 
   @Test
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void sharedPartsThatRunnerHasReadAreNotReadAgain() {
+  void cachedSharedPartsNeedNoPrefill() {
     assertEquals(1_000, loads.uncachedTokens("r", PROMPT));
     loads.recordCachedParts("r", PROMPT);
     assertEquals(500, loads.uncachedTokens("r", PROMPT));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void tokensToReadSayMoreThanTheNumberOfRequests() {
+  void chooserComparesPendingPrefillTokensInsteadOfRequestCounts() {
     RunnerCandidate fewLarge =
         new RunnerCandidate("large", Distance.SAME_DOMAIN, 2, 96, 14_000, 0.06, 0, 500, true);
     RunnerCandidate manySmall =
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void runnerNearbyIsPreferredWhileItIsNotMuchLater() {
+  void nearbyRunnerIsPreferredUnlessItStartsMuchLater() {
     RunnerCandidate near =
         new RunnerCandidate("near", Distance.SAME_DOMAIN, 1, 96, 1_000, 0.06, 0, 500, true);
     RunnerCandidate far =
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void theSumForOtherDomainsHoldsTheOwnPartAndFreshPartsOfTheNamedNeighboursOnly() {
+  void loadsWithAddsOnlyRecentReportsOfTheGivenNeighbours() {
     RunnerLoads loads = new RunnerLoads();
     loads.sent("r", 100);
     loads.updateNeighbour("near", Map.of("r", new RunnerLoads.Load(2, 700)), 5_000);
--- a/idempotency/src/main/java/org/agatefield/idempotency/Claim.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/Claim.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 
 /**
- * A claim as it lies in the store: the right of one attempt to send one call once. Immutable.
+ * A claim as stored: the right of one attempt to send one call once. Immutable.
  *
- * <p>Invariants: only the process that made {@code attemptId} ever sends for this claim, at most
- * once, and only that process deletes the claim, after proof that it has not sent and never will
- * (retention apart). An answer is never replaced.
+ * <p>Invariants: only the process that created {@code attemptId} sends the call under this claim,
+ * and at most once. Before the retention ends only that process deletes the claim, after proof that
+ * it has not sent the call and never will. An answer is never replaced.
  *
  * @param <A> the answer, opaque to the protocol
  * @param attemptId unique to the attempt that wrote the claim
  * @param holder the instance that wrote the claim
- * @param bodyHash tells apart calls that reuse the key for something else
- * @param claimedAtMilliseconds wall-clock time of the holder, only used to tell how old it is
- * @param timeoutMilliseconds how long the service may take
- * @param keepUntilMilliseconds wall-clock time before which the claim is not swept
+ * @param bodyHash hash of the request body; differs if the key is reused for another call
+ * @param claimedAtMilliseconds wall-clock time of the holder, only used for the claim's age
+ * @param timeoutMilliseconds time within which the service must answer
+ * @param keepUntilMilliseconds wall-clock time before which the claim is not deleted
  * @param outcome empty while the call may be running
  */
 public record Claim<A>(
@@ -28,10 +28,10 @@
     Optional<Outcome<A>> outcome) {
 
   /**
-   * How the one execution ended. Immutable.
+   * The outcome of the execution. Immutable.
    *
    * @param <A> the answer
-   * @param answer the whole answer; empty if it is lost and the call may or may not have run
+   * @param answer the complete answer; empty if it is lost and the call may or may not have run
    */
   public record Outcome<A>(Optional<A> answer) {}
 
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimAction.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimAction.java
@@ -4,7 +4,7 @@
 import org.agatefield.model.RunState;
 
 /**
- * What an arrival of a call is to do next.
+ * An action that an attempt must take next.
  *
  * @param <A> the answer
  */
@@ -15,45 +15,45 @@
   /** Wait for admission and choose an upstream. */
   record Acquire<A>() implements ClaimAction<A> {}
 
-  /** Choose another upstream after one to which nothing was sent, if the budget allows it. */
+  /** Choose another upstream, if the retry budget allows it, as nothing was sent to the first. */
   record Reacquire<A>() implements ClaimAction<A> {}
 
-  /** Give the chosen upstream back unused. */
+  /** Release the chosen upstream unused. */
   record ReleaseUpstream<A>() implements ClaimAction<A> {}
 
   /** Create the claim if there is none. */
   record Create<A>() implements ClaimAction<A> {}
 
-  /** Go on with {@link ClaimEvent.DeadlineCheckDue} and the time of that moment. */
+  /** Pass {@link ClaimEvent.DeadlineCheckDue} with the current time. */
   record CheckDeadline<A>() implements ClaimAction<A> {}
 
-  /** Send the call; given at most once for an attempt, but for proof that nothing was sent. */
+  /** Send the call; repeated for the same attempt only on proof that nothing was sent. */
   record Send<A>() implements ClaimAction<A> {}
 
-  /** Write the outcome into the claim, until the store takes it. */
+  /** Store the outcome in the claim, with retries until that succeeds. */
   record Record<A>(Claim.Outcome<A> outcome) implements ClaimAction<A> {}
 
-  /** Record an answer learnt for another process's claim, if the store takes it. */
+  /** Store an answer in the claim of another process, without retries. */
   record RecordForOther<A>(Claim<A> claim, A answer) implements ClaimAction<A> {}
 
-  /** Remove the own claim, now or whenever it comes to be in the store; it is never sent for. */
+  /** Remove the own claim, now or once its creation takes effect; the call is never sent for it. */
   record Remove<A>() implements ClaimAction<A> {}
 
-  /** Remove an abandoned claim of this process that was found, and report how that went. */
+  /** Remove an abandoned claim of this process that was found, and report the result. */
   record RemoveFound<A>(Claim<A> claim) implements ClaimAction<A> {}
 
-  /** Look at the claim again after a while. */
+  /** Read the claim again after the poll interval. */
   record PollLater<A>() implements ClaimAction<A> {}
 
-  /** Ask the service for the outcome of the key. */
+  /** Query the service for the outcome of the key. */
   record QueryService<A>() implements ClaimAction<A> {}
 
-  /** Give the caller the whole answer. */
+  /** Send the complete answer to the caller. */
   record Reply<A>(A answer) implements ClaimAction<A> {}
 
-  /** Refuse with a kind; {@code runState} speaks of every arrival with the key up to now. */
+  /** Refuse with an error kind; {@code runState} covers all attempts with the key so far. */
   record Refuse<A>(ErrorKind kind, RunState runState, String reason) implements ClaimAction<A> {}
 
-  /** Refuse with the error that was met. */
+  /** Refuse with the error that occurred. */
   record RefuseWithError<A>(Throwable error) implements ClaimAction<A> {}
 }
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimEvent.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimEvent.java
@@ -3,16 +3,16 @@
 import org.agatefield.model.RunState;
 
 /**
- * What happened to an arrival of a call.
+ * An event of an attempt, mostly the result of a {@link ClaimAction}.
  *
  * @param <A> the answer
  */
 public sealed interface ClaimEvent<A> {
-  /** The store showed that there is no claim. */
+  /** The read found no claim. */
   record Absent<A>() implements ClaimEvent<A> {}
 
   /**
-   * The store showed a claim.
+   * The read found a claim.
    *
    * @param holderState what is known about the instance that wrote it
    */
@@ -24,55 +24,55 @@
   /** An upstream was chosen. */
   record Acquired<A>() implements ClaimEvent<A> {}
 
-  /** No upstream was to be had; nothing was sent. */
+  /** No upstream was available; nothing was sent. */
   record AcquireFailed<A>(Throwable error) implements ClaimEvent<A> {}
 
   /** The claim was created. */
   record Created<A>() implements ClaimEvent<A> {}
 
-  /** A claim exists already; the create had no effect. */
+  /** A claim already exists; the create had no effect. */
   record CreateRejected<A>() implements ClaimEvent<A> {}
 
   /** The store refused the create, which had no effect and never will. */
   record CreateRefused<A>() implements ClaimEvent<A> {}
 
-  /** No answer to the create: it may have taken effect, or may yet. */
+  /** The create was not confirmed; it may have taken effect or still do so. */
   record CreateUnknown<A>() implements ClaimEvent<A> {}
 
-  /** Time was taken between the claim and the send; the deadline is to be checked now. */
+  /** The deadline must be checked now, between the claim and the send. */
   record DeadlineCheckDue<A>() implements ClaimEvent<A> {}
 
-  /** The whole answer came. */
+  /** The complete answer was received. */
   record Answered<A>(A answer) implements ClaimEvent<A> {}
 
-  /** The send failed; {@code runState} is NO only on proof that not one byte was sent. */
+  /** The send failed; {@code runState} is NO only on proof that no byte was sent. */
   record SendFailed<A>(RunState runState, Throwable error) implements ClaimEvent<A> {}
 
-  /** The service, asked for the outcome of the key, gave the whole answer. */
+  /** The service returned the complete answer when queried for the outcome of the key. */
   record OutcomeReceived<A>(A answer) implements ClaimEvent<A> {}
 
-  /** The service could not be asked or did not know. */
+  /** The service could not be queried or has no outcome for the key. */
   record OutcomeUnavailable<A>() implements ClaimEvent<A> {}
 
-  /** The outcome is in the store. */
+  /** The outcome is stored. */
   record Recorded<A>() implements ClaimEvent<A> {}
 
-  /** The claim is known to be removed. */
+  /** The removal of the claim is confirmed. */
   record Removed<A>() implements ClaimEvent<A> {}
 
-  /** The claim could not be removed now; removal goes on in the background. */
+  /** The claim could not be removed now; removal continues in the background. */
   record RemoveFailed<A>() implements ClaimEvent<A> {}
 
-  /** It is time to look at the claim again. */
+  /** The poll interval has passed. */
   record PollDue<A>() implements ClaimEvent<A> {}
 
   /** What is known about the holder of a claim without an outcome. */
   enum HolderState {
     /** It may still be executing the call. */
     RUNNING,
-    /** It is dead, or the service's timeout has long passed. */
+    /** It is dead, or the timeout of the service passed long ago. */
     GONE,
-    /** It is this process, and it is certain that it has not sent and never will. */
+    /** It is this process, which certainly has not sent the call and never will. */
     ABANDONED
   }
 }
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimProtocol.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimProtocol.java
@@ -10,60 +10,61 @@
 import org.agatefield.model.RunState;
 
 /**
- * Decides what an arrival of a call that must run at most once does next.
+ * Decides the next actions of an attempt to execute a call that must run at most once.
  *
- * <p>The claim is in the store before the call is sent, only its writer sends, and at most once.
- * Invariants:
+ * <p>The claim is stored before the call is sent; only the process that wrote the claim sends the
+ * call, and at most once. Invariants:
  *
  * <ul>
- *   <li>{@link ClaimAction.Send} is only given in {@link Phase#HOLDING}, which is only reached with
- *       the own claim seen in the store, and reached again only on proof that nothing was sent;
- *   <li>{@link ClaimAction.Remove} is never given after {@link ClaimAction.Send}, but on proof that
- *       nothing was sent; after it the arrival neither creates a claim nor sends;
- *   <li>a refusal with {@link RunState#NO} means that at a moment after the arrival no attempt with
- *       the key had been sent, and that this attempt never will be.
+ *   <li>{@link ClaimAction.Send} is returned only in {@link Phase#HOLDING}. That phase is entered
+ *       only when the store is known to contain the own claim, and entered again only on proof that
+ *       nothing was sent.
+ *   <li>{@link ClaimAction.Remove} is returned after {@link ClaimAction.Send} only on proof that
+ *       nothing was sent. After it the attempt neither creates a claim nor sends the call.
+ *   <li>A refusal with {@link RunState#NO} means that at some moment after this attempt started no
+ *       attempt with the key had been sent, and that this attempt never will be.
  * </ul>
  *
- * <p>Stateless and safe for use by any thread.
+ * <p>Stateless and thread-safe.
  *
  * @param <A> the answer
  */
 public final class ClaimProtocol<A> {
-  /** Returns what to do first. */
+  /** Returns the first step. */
   public ClaimStep<A> begin() {
     return step(Phase.READING, new ClaimAction.Read<>());
   }
 
   /**
-   * Returns what to do after an event.
+   * Returns the step that follows an event.
    *
    * @throws IllegalStateException if the event cannot happen in the state
    */
   public ClaimStep<A> next(
-      ClaimState<A> state, ClaimEvent<A> event, CallAttempt arrival, long nowNanoseconds) {
+      ClaimState<A> state, ClaimEvent<A> event, CallAttempt attempt, long nowNanoseconds) {
     return switch (state.phase()) {
-      case READING -> afterRead(event, arrival, nowNanoseconds);
+      case READING -> afterRead(event, attempt, nowNanoseconds);
       case ACQUIRING -> afterAcquire(event);
       case CREATING -> afterCreate(event);
-      case READING_BACK -> afterReadBack(event, arrival);
-      case HOLDING -> afterHold(arrival, nowNanoseconds);
-      case SENDING -> afterSend(event, arrival);
+      case READING_BACK -> afterReadBack(event, attempt);
+      case HOLDING -> afterDeadlineCheckDue(attempt, nowNanoseconds);
+      case SENDING -> afterSend(event, attempt);
       case REACQUIRING -> afterReacquire(event);
-      case QUERYING_OWN_OUTCOME -> afterAskForOwn(state, event);
-      case QUERYING_FOUND_OUTCOME -> afterAskForFound(state, event);
-      case REMOVING_ABANDONED -> afterClear(event);
+      case QUERYING_OWN_OUTCOME -> afterOwnOutcomeQuery(state, event);
+      case QUERYING_FOUND_OUTCOME -> afterFoundOutcomeQuery(state, event);
+      case REMOVING_ABANDONED -> afterRemoveFound(event);
       case WAITING -> step(Phase.READING, new ClaimAction.Read<>());
       case RECORDING -> step(Phase.DONE);
       case DONE -> throw unexpected(state, event);
     };
   }
 
-  private ClaimStep<A> afterRead(ClaimEvent<A> event, CallAttempt arrival, long now) {
+  private ClaimStep<A> afterRead(ClaimEvent<A> event, CallAttempt attempt, long now) {
     if (event instanceof ClaimEvent.Absent) {
       return step(Phase.ACQUIRING, new ClaimAction.Acquire<>());
     }
     if (event instanceof ClaimEvent.Found<A> found) {
-      return judge(found, arrival, now);
+      return afterFound(found, attempt, now);
     }
     return refuse(
         ErrorKind.STORE_UNAVAILABLE,
@@ -94,15 +95,17 @@
         storeUnavailable(RunState.NO, "the store refused the claim"));
   }
 
-  private ClaimStep<A> afterReadBack(ClaimEvent<A> event, CallAttempt arrival) {
+  private ClaimStep<A> afterReadBack(ClaimEvent<A> event, CallAttempt attempt) {
     if (event instanceof ClaimEvent.Found<A> found) {
-      if (found.claim().attemptId().equals(arrival.attemptId())) {
+      if (found.claim().attemptId().equals(attempt.attemptId())) {
         return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
       }
       return prepend(
-          answerFor(found, arrival), new ClaimAction.ReleaseUpstream<>(), new ClaimAction.Remove<>());
+          endAfterRemoval(found, attempt),
+          new ClaimAction.ReleaseUpstream<>(),
+          new ClaimAction.Remove<>());
     }
-    // The create may still take effect: sending now could follow or precede another's send.
+    // The create may still take effect; sending now could duplicate the send of another attempt.
     RunState runState = event instanceof ClaimEvent.Absent ? RunState.NO : RunState.UNKNOWN;
     return step(
         Phase.DONE,
@@ -111,8 +114,8 @@
         storeUnavailable(runState, "the store did not confirm the claim; nothing was sent"));
   }
 
-  private ClaimStep<A> afterHold(CallAttempt arrival, long now) {
-    if (now - arrival.deadlineNanoseconds() >= 0) {
+  private ClaimStep<A> afterDeadlineCheckDue(CallAttempt attempt, long now) {
+    if (now - attempt.deadlineNanoseconds() >= 0) {
       return step(
           Phase.DONE,
           new ClaimAction.ReleaseUpstream<>(),
@@ -125,7 +128,7 @@
     return step(Phase.SENDING, new ClaimAction.Send<>());
   }
 
-  private ClaimStep<A> afterSend(ClaimEvent<A> event, CallAttempt arrival) {
+  private ClaimStep<A> afterSend(ClaimEvent<A> event, CallAttempt attempt) {
     if (event instanceof ClaimEvent.Answered<A> answered) {
       return replyAndRecord(answered.answer());
     }
@@ -135,9 +138,10 @@
     if (failed.runState() == RunState.NO) {
       return step(Phase.REACQUIRING, new ClaimAction.Reacquire<>());
     }
-    if (arrival.outcomeQueryable()) {
+    if (attempt.outcomeQueryable()) {
       return new ClaimStep<>(
-          new ClaimState<>(Phase.QUERYING_OWN_OUTCOME, Optional.empty(), Optional.of(failed.error())),
+          new ClaimState<>(
+              Phase.QUERYING_OWN_OUTCOME, Optional.empty(), Optional.of(failed.error())),
           List.of(new ClaimAction.QueryService<>()));
     }
     return refuseAndRecordLost(failed.error());
@@ -146,30 +150,32 @@
   private ClaimStep<A> afterReacquire(ClaimEvent<A> event) {
     if (event instanceof ClaimEvent.AcquireFailed<A> failed) {
       return step(
-          Phase.DONE, new ClaimAction.Remove<>(), new ClaimAction.RefuseWithError<>(failed.error()));
+          Phase.DONE,
+          new ClaimAction.Remove<>(),
+          new ClaimAction.RefuseWithError<>(failed.error()));
     }
     return step(Phase.HOLDING, new ClaimAction.CheckDeadline<>());
   }
 
-  private ClaimStep<A> afterAskForOwn(ClaimState<A> state, ClaimEvent<A> event) {
-    if (event instanceof ClaimEvent.OutcomeReceived<A> learnt) {
-      return replyAndRecord(learnt.answer());
+  private ClaimStep<A> afterOwnOutcomeQuery(ClaimState<A> state, ClaimEvent<A> event) {
+    if (event instanceof ClaimEvent.OutcomeReceived<A> received) {
+      return replyAndRecord(received.answer());
     }
     return refuseAndRecordLost(state.error().orElseThrow());
   }
 
-  private ClaimStep<A> afterAskForFound(ClaimState<A> state, ClaimEvent<A> event) {
+  private ClaimStep<A> afterFoundOutcomeQuery(ClaimState<A> state, ClaimEvent<A> event) {
     Claim<A> found = state.found().orElseThrow();
-    if (event instanceof ClaimEvent.OutcomeReceived<A> learnt) {
+    if (event instanceof ClaimEvent.OutcomeReceived<A> received) {
       return step(
           Phase.DONE,
-          new ClaimAction.RecordForOther<>(found, learnt.answer()),
-          new ClaimAction.Reply<>(learnt.answer()));
+          new ClaimAction.RecordForOther<>(found, received.answer()),
+          new ClaimAction.Reply<>(received.answer()));
     }
     return refuseUnknown();
   }
 
-  private ClaimStep<A> afterClear(ClaimEvent<A> event) {
+  private ClaimStep<A> afterRemoveFound(ClaimEvent<A> event) {
     if (event instanceof ClaimEvent.Removed) {
       return step(Phase.READING, new ClaimAction.Read<>());
     }
@@ -180,20 +186,20 @@
   }
 
   /**
-   * Answers an arrival whose own claim is being removed. It must not go on: a later claim under the
-   * same attempt would be removed while it is sent for.
+   * Ends an attempt whose own claim is being removed. The attempt must not continue: a claim that
+   * it created later would be removed although the call is sent for it.
    */
-  private ClaimStep<A> answerFor(ClaimEvent.Found<A> found, CallAttempt arrival) {
-    boolean same = found.claim().bodyHash().equals(arrival.bodyHash());
+  private ClaimStep<A> endAfterRemoval(ClaimEvent.Found<A> found, CallAttempt attempt) {
+    boolean same = found.claim().bodyHash().equals(attempt.bodyHash());
     if (same && found.claim().outcome().isEmpty()) {
-      return inProgress();
+      return refuseInProgress();
     }
-    return judge(found, arrival, arrival.joinUntilNanoseconds());
+    return afterFound(found, attempt, attempt.joinUntilNanoseconds());
   }
 
-  private ClaimStep<A> judge(ClaimEvent.Found<A> found, CallAttempt arrival, long now) {
+  private ClaimStep<A> afterFound(ClaimEvent.Found<A> found, CallAttempt attempt, long now) {
     Claim<A> claim = found.claim();
-    if (!claim.bodyHash().equals(arrival.bodyHash())) {
+    if (!claim.bodyHash().equals(attempt.bodyHash())) {
       return refuse(
           ErrorKind.KEY_REUSED, RunState.NO, "the key was used before with another request");
     }
@@ -203,27 +209,27 @@
           .get()
           .answer()
           .map(answer -> step(Phase.DONE, new ClaimAction.Reply<>(answer)))
-          .orElseGet(() -> askOrRefuse(claim, arrival));
+          .orElseGet(() -> queryOrRefuse(claim, attempt));
     }
     if (found.holderState() == HolderState.ABANDONED) {
       return step(Phase.REMOVING_ABANDONED, new ClaimAction.RemoveFound<>(claim));
     }
-    if (now - arrival.joinUntilNanoseconds() < 0) {
+    if (now - attempt.joinUntilNanoseconds() < 0) {
       return step(Phase.WAITING, new ClaimAction.PollLater<>());
     }
     if (found.holderState() == HolderState.GONE) {
-      return askOrRefuse(claim, arrival);
+      return queryOrRefuse(claim, attempt);
     }
-    return inProgress();
+    return refuseInProgress();
   }
 
-  private ClaimStep<A> inProgress() {
+  private ClaimStep<A> refuseInProgress() {
     return refuse(
         ErrorKind.KEY_IN_PROGRESS, RunState.UNKNOWN, "a call with the same key is running");
   }
 
-  private ClaimStep<A> askOrRefuse(Claim<A> claim, CallAttempt arrival) {
-    if (!arrival.outcomeQueryable()) {
+  private ClaimStep<A> queryOrRefuse(Claim<A> claim, CallAttempt attempt) {
+    if (!attempt.outcomeQueryable()) {
       return refuseUnknown();
     }
     return new ClaimStep<>(
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimState.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimState.java
@@ -3,45 +3,45 @@
 import java.util.Optional;
 
 /**
- * Where an arrival of a call stands. Immutable.
+ * The state of an attempt. Immutable.
  *
  * @param <A> the answer
- * @param phase what it waits for
- * @param found the claim of another attempt that is being asked for or removed
- * @param error the failure of the send, while the service is asked for the outcome
+ * @param phase what the attempt waits for
+ * @param found the claim of another attempt whose outcome is queried or which is being removed
+ * @param error the failure of the send, while the service is queried for the outcome
  */
 public record ClaimState<A>(Phase phase, Optional<Claim<A>> found, Optional<Throwable> error) {
-  /** What an arrival waits for. */
+  /** What an attempt waits for. */
   public enum Phase {
-    /** The first or a later read of the claim. */
+    /** A read of the claim. */
     READING,
-    /** Admission and the choice of an upstream. */
+    /** Admission and the selection of an upstream. */
     ACQUIRING,
-    /** The answer to the create. */
+    /** The result of the create. */
     CREATING,
-    /** A read after a create whose answer was lost. */
+    /** A read after a create that was not confirmed. */
     READING_BACK,
-    /** The check of the deadline between claim and send. */
+    /** The check of the deadline between the claim and the send. */
     HOLDING,
     /** The upstream's answer. */
     SENDING,
-    /** The choice of another upstream, after proof that nothing was sent to the first. */
+    /** The selection of another upstream, after proof that nothing was sent to the first. */
     REACQUIRING,
-    /** The service's word about the own attempt. */
+    /** The service's response about the outcome of the own attempt. */
     QUERYING_OWN_OUTCOME,
-    /** The service's word about another attempt. */
+    /** The service's response about the outcome of another attempt. */
     QUERYING_FOUND_OUTCOME,
-    /** The store's taking the outcome. */
+    /** Confirmation that the outcome is stored. */
     RECORDING,
     /** The removal of an abandoned claim that was found. */
     REMOVING_ABANDONED,
-    /** The next look at another attempt's claim. */
+    /** The next poll of another attempt's claim. */
     WAITING,
-    /** Nothing: the arrival is over. */
+    /** Nothing: the attempt has ended. */
     DONE
   }
 
-  /** Returns the state of a new arrival. */
+  /** Returns the state of a new attempt. */
   public static <A> ClaimState<A> initial() {
     return in(Phase.READING);
   }
--- a/idempotency/src/main/java/org/agatefield/idempotency/ClaimStep.java
+++ b/idempotency/src/main/java/org/agatefield/idempotency/ClaimStep.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A decision: the new state and what to do, in order. Immutable.
+ * A decision of the protocol: the new state and the actions to take, in order. Immutable.
  *
- * <p>In a step that ends the arrival, the answer to the caller comes last.
+ * <p>In a step that ends the attempt, the answer to the caller is the last action.
  *
  * @param <A> the answer
  */
