--- a/idempotency/src/test/java/org/agatefield/idempotency/ClaimProtocolTest.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/ClaimProtocolTest.java
@@ -10,102 +10,102 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.agatefield.idempotency.SimulatedWorld.Fault;
+import org.agatefield.idempotency.ClaimSimulation.Fault;
 import org.junit.jupiter.api.Test;
 
-/** Requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL over any interleaving of faults. */
+/** Tests requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL with random interleavings of faults. */
 class ClaimProtocolTest {
   private static final int RUNS = 5_000;
 
   @Property(tries = 100_000, seed = "42", edgeCases = EdgeCasesMode.NONE)
-  void callIsSentAtMostOnceAndItsAnswerKept(
+  void callIsSentAtMostOnceAndItsAnswerIsNotLost(
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0, max = 0.5) double faultShare,
-      @ForAll @IntRange(min = 1, max = 12) int arrivals) {
-    SimulatedWorld world = new SimulatedWorld(seed, faultShare, Fault.NONE);
-    world.run(arrivals);
-    assertEquals(List.of(), world.violations);
+      @ForAll @IntRange(min = 1, max = 12) int attempts) {
+    ClaimSimulation simulation = new ClaimSimulation(seed, faultShare, Fault.NONE);
+    simulation.run(attempts);
+    assertEquals(List.of(), simulation.violations);
   }
 
-  /** Seeds that once ran twice: an arrival went on after its claim was given up for removal. */
+  /** In these seeds the call once ran twice: an attempt continued while its claim was removed. */
   @Test
-  void arrivalWhoseClaimIsBeingRemovedDoesNotClaimAgain() {
+  void attemptWhoseClaimIsBeingRemovedDoesNotClaimAgain() {
     for (long seed : new long[] {273, 4363, 31478, 54911, 56905}) {
-      SimulatedWorld world = new SimulatedWorld(seed, 0.3, Fault.NONE);
-      world.run(12);
-      assertEquals(List.of(), world.violations);
+      ClaimSimulation simulation = new ClaimSimulation(seed, 0.3, Fault.NONE);
+      simulation.run(12);
+      assertEquals(List.of(), simulation.violations);
     }
   }
 
   @Test
-  void claimOfAnotherFoundAfterLostCreateEndsTheArrival() {
+  void claimOfAnotherAttemptFoundAfterUnconfirmedCreateEndsTheAttempt() {
     ClaimProtocol<String> protocol = new ClaimProtocol<>();
-    CallAttempt arrival = new CallAttempt("mine", "body", 1_000, 1_000, false);
+    CallAttempt attempt = new CallAttempt("mine", "body", 1_000, 1_000, false);
     Claim<String> other = new Claim<>("other", "b", "body", 0, 0, 0, Optional.empty());
     ClaimStep<String> step =
         protocol.next(
             ClaimState.in(ClaimState.Phase.READING_BACK),
             new ClaimEvent.Found<>(other, ClaimEvent.HolderState.RUNNING),
-            arrival,
+            attempt,
             0);
     assertEquals(ClaimState.Phase.DONE, step.state().phase());
     assertTrue(step.actions().contains(new ClaimAction.Remove<String>()));
   }
 
   @Test
-  void withoutFaultsTheFirstArrivalRunsAndAllGetItsAnswer() {
-    SimulatedWorld world = new SimulatedWorld(1, 0, Fault.NONE);
-    world.run(10);
-    assertEquals(List.of(), world.violations);
-    assertEquals(1, world.executedAnswers.size());
+  void withoutFaultsTheFirstAttemptRunsAndAllGetItsAnswer() {
+    ClaimSimulation simulation = new ClaimSimulation(1, 0, Fault.NONE);
+    simulation.run(10);
+    assertEquals(List.of(), simulation.violations);
+    assertEquals(1, simulation.executedAnswers.size());
   }
 
   @Test
-  void runsWithFaultsExecuteTheCallMoreOftenThanNot() {
+  void callIsExecutedInMostRunsWithFaults() {
     long executed = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      SimulatedWorld world = new SimulatedWorld(seed, 0.2, Fault.NONE);
-      world.run(8);
-      executed += world.executedAnswers.size();
+      ClaimSimulation simulation = new ClaimSimulation(seed, 0.2, Fault.NONE);
+      simulation.run(8);
+      executed += simulation.executedAnswers.size();
     }
     System.out.println("NONE: executed in " + executed + " of " + RUNS + " runs");
     assertTrue(executed > RUNS / 2);
   }
 
   @Test
-  void sendingWithoutClaimBreaksTheProperty() {
-    assertTrue(brokenRuns(Fault.SEND_WITHOUT_CLAIM) > 0);
+  void sendingWithoutClaimCausesViolations() {
+    assertTrue(runsWithViolations(Fault.SEND_WITHOUT_CLAIM) > 0);
   }
 
   @Test
-  void sendingAfterAbsentReadBackBreaksTheProperty() {
-    assertTrue(brokenRuns(Fault.SEND_AFTER_ABSENT_READ_BACK) > 0);
+  void sendingAfterAbsentReadBackCausesViolations() {
+    assertTrue(runsWithViolations(Fault.SEND_AFTER_ABSENT_READ_BACK) > 0);
   }
 
   @Test
-  void releasingWithoutProofBreaksTheProperty() {
-    assertTrue(brokenRuns(Fault.RELEASE_WITHOUT_PROOF) > 0);
+  void releasingWithoutProofCausesViolations() {
+    assertTrue(runsWithViolations(Fault.RELEASE_WITHOUT_PROOF) > 0);
   }
 
   @Test
-  void takingOverTheClaimOfDeadHolderBreaksTheProperty() {
-    assertTrue(brokenRuns(Fault.TAKE_OVER_CLAIM_OF_DEAD_HOLDER) > 0);
+  void takingOverTheClaimOfDeadHolderCausesViolations() {
+    assertTrue(runsWithViolations(Fault.TAKE_OVER_CLAIM_OF_DEAD_HOLDER) > 0);
   }
 
   @Test
-  void refusingAsNotRunWithoutReadingBreaksTheProperty() {
-    assertTrue(brokenRuns(Fault.REFUSE_AS_NOT_RUN_WITHOUT_READING) > 0);
+  void refusingAsNotRunWithoutReadingCausesViolations() {
+    assertTrue(runsWithViolations(Fault.REFUSE_AS_NOT_RUN_WITHOUT_READING) > 0);
   }
 
-  /** Returns in how many of the seeded runs a violation is seen. */
-  private static long brokenRuns(Fault fault) {
-    long broken = 0;
+  /** Returns the number of seeded runs with a violation. */
+  private static long runsWithViolations(Fault fault) {
+    long violated = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      SimulatedWorld world = new SimulatedWorld(seed, 0.2, fault);
-      world.run(8);
-      broken += world.violations.isEmpty() ? 0 : 1;
+      ClaimSimulation simulation = new ClaimSimulation(seed, 0.2, fault);
+      simulation.run(8);
+      violated += simulation.violations.isEmpty() ? 0 : 1;
     }
-    System.out.println(fault + ": violations in " + broken + " of " + RUNS + " runs");
-    return broken;
+    System.out.println(fault + ": violations in " + violated + " of " + RUNS + " runs");
+    return violated;
   }
 }
--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedWorld.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/ClaimSimulation.java
@@ -8,11 +8,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Processes whose steps come in any order, with a store and a service whose answers are lost, late
- * or refused. One idempotency key. Used from one thread; the same seed gives the same run.
+ * Simulates processes whose steps interleave in random order, and a store and a service whose
+ * responses are lost, late or refused, for one idempotency key. Confined to one thread; the same
+ * seed gives the same run.
  */
-final class SimulatedWorld {
-  /** A part of the protocol that is switched off, to see what it is needed for. */
+final class ClaimSimulation {
+  /** Faults of the protocol, each of which must cause violations. */
   enum Fault {
     NONE,
     SEND_WITHOUT_CLAIM,
@@ -39,23 +40,23 @@
   private double faultShare;
   private int processes;
 
-  /** One thing that may happen next: on the wire, or in a process. */
+  /** An action that may run next: on the wire, or in a process. */
   private record Task(int process, Runnable action) {}
 
-  SimulatedWorld(long seed, double faultShare, Fault fault) {
+  ClaimSimulation(long seed, double faultShare, Fault fault) {
     this.random = new Random(seed);
     this.faultShare = faultShare;
     this.fault = fault;
   }
 
-  /** Runs arrivals and crashes in a random order, then lets everything settle. */
-  void run(int arrivals) {
-    int left = arrivals;
+  /** Runs attempts and crashes in random order, then all remaining tasks without faults. */
+  void run(int attempts) {
+    int remaining = attempts;
     for (int step = 0; step < STEPS; step++) {
       now += random.nextInt(3);
-      if (left > 0 && chance(0.1)) {
-        left--;
-        arrive();
+      if (remaining > 0 && chance(0.1)) {
+        remaining--;
+        startAttempt();
       } else if (chance(faultShare / 10) && processes > 0) {
         crash(random.nextInt(processes));
       } else {
@@ -63,14 +64,14 @@
       }
     }
     settle();
-    checkLastArrival();
+    checkLastAttempt();
   }
 
   boolean chance(double share) {
     return random.nextDouble() < share;
   }
 
-  /** Returns whether a fault of the store, the network or the service happens. */
+  /** Returns whether a fault of the store, the network or the service occurs now. */
   boolean faulty() {
     return chance(faultShare);
   }
@@ -84,9 +85,10 @@
   }
 
   /**
-   * Makes a write whose answer may be lost before or after its effect, which may come late.
+   * Performs a write whose response may be lost, before or after its effect, or whose effect may be
+   * delayed.
    *
-   * @param effect makes the write and returns whether its condition held
+   * @param effect performs the write and returns whether its condition held
    */
   void write(BooleanSupplier effect, WriteListener listener) {
     if (!faulty()) {
@@ -116,11 +118,11 @@
     void unknown();
   }
 
-  private SimulatedAttempt arrive() {
+  private SimulatedAttempt startAttempt() {
     int process = chance(0.5) && processes > 0 ? random.nextInt(processes) : processes++;
-    SimulatedAttempt arrival = new SimulatedAttempt(this, process);
-    inProcess(process, arrival::start);
-    return arrival;
+    SimulatedAttempt started = new SimulatedAttempt(this, process);
+    inProcess(process, started::start);
+    return started;
   }
 
   private void crash(int process) {
@@ -142,19 +144,19 @@
       runAny();
     }
     if (!tasks.isEmpty()) {
-      violations.add("tasks do not end");
+      violations.add("tasks do not terminate");
     }
   }
 
-  /** A last retry gets the answer, if any process that has lived to the end knew it. */
-  private void checkLastArrival() {
+  /** Checks that a last retry gets the answer if a process that did not crash received it. */
+  private void checkLastAttempt() {
     boolean answerKnown = !answersBeingRecorded.isEmpty();
     final int repliesBefore = replies;
     final int sendsBefore = sends;
-    arrive();
+    startAttempt();
     settle();
     if (answerKnown && replies == repliesBefore) {
-      violations.add("an answer that was known is not given to a retry");
+      violations.add("a retry did not get an answer that was received before");
     }
     if (sendsBefore > 0 && sends > sendsBefore) {
       violations.add("the last retry was sent again");
--- a/idempotency/src/test/java/org/agatefield/idempotency/RetentionPolicyTest.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/RetentionPolicyTest.java
@@ -16,19 +16,19 @@
   private static final long NOW = 1_800_000_000_000L;
   private static final RetentionPolicy POLICY = new RetentionPolicy(HOUR, SKEW);
 
-  private static String keyMadeAt(long milliseconds) {
+  private static String keyCreatedAt(long milliseconds) {
     String digits = String.format("%012x", milliseconds);
     return digits.substring(0, 8) + "-" + digits.substring(8) + "-7abc-8def-0123456789ab";
   }
 
   @Property(tries = 20_000, seed = "42")
-  void sweptTimeOrderedKeyIsRefusedByEveryInstance(
+  void timeOrderedKeyWithDeletedClaimIsRefusedByEveryInstance(
       @ForAll @LongRange(min = -2 * HOUR, max = 2 * HOUR) long keyLead,
       @ForAll @LongRange(min = -SKEW / 2, max = SKEW / 2) long claimerSkew,
       @ForAll @LongRange(min = -SKEW / 2, max = SKEW / 2) long sweeperSkew,
       @ForAll @LongRange(min = -SKEW / 2, max = SKEW / 2) long retrySkew,
       @ForAll @LongRange(min = 0, max = 10 * HOUR) long later) {
-    String key = keyMadeAt(NOW + keyLead);
+    String key = keyCreatedAt(NOW + keyLead);
     long keepUntil = POLICY.keepUntil(key, NOW + claimerSkew);
     boolean swept = POLICY.maySweep(keepUntil, NOW + later + sweeperSkew);
     boolean refused = POLICY.isExpired(key, NOW + later + retrySkew);
@@ -37,8 +37,8 @@
 
   @Test
   void keyInUseIsNotExpired() {
-    assertFalse(POLICY.isExpired(keyMadeAt(NOW), NOW + HOUR));
-    assertTrue(POLICY.isExpired(keyMadeAt(NOW), NOW + HOUR + 1));
+    assertFalse(POLICY.isExpired(keyCreatedAt(NOW), NOW + HOUR));
+    assertTrue(POLICY.isExpired(keyCreatedAt(NOW), NOW + HOUR + 1));
   }
 
   @Test
@@ -50,12 +50,12 @@
   }
 
   @Test
-  void keyNamesTheTimeAtWhichItWasMade() {
-    assertEquals(OptionalLong.of(NOW), RetentionPolicy.timeOf(keyMadeAt(NOW)));
+  void timeOrderedKeyContainsItsCreationTime() {
+    assertEquals(OptionalLong.of(NOW), RetentionPolicy.timeOf(keyCreatedAt(NOW)));
   }
 
   @Test
-  void namesOfClaimsDifferByCallerServiceAndKey() {
+  void claimNamesDependOnCallerServiceAndKey() {
     String name = ClaimNames.nameOf("a", "bc", "d");
     assertFalse(name.equals(ClaimNames.nameOf("ab", "c", "d")));
     assertFalse(name.equals(ClaimNames.nameOf("a", "b", "cd")));
--- a/idempotency/src/test/java/org/agatefield/idempotency/SimulatedClaimStore.java
+++ b/idempotency/src/test/java/org/agatefield/idempotency/SimulatedClaimStore.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One claim of a store with conditional writes. Used from one thread. */
+/** A store of one claim with conditional writes. Confined to one thread. */
 final class SimulatedClaimStore {
   /** A claim with its version. Immutable. */
   record Versioned(long version, Claim<String> claim) {}
--- a/lease/src/main/java/org/agatefield/lease/LeaseDecision.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseDecision.java
@@ -1,13 +1,13 @@
 package org.agatefield.lease;
 
-/** What a process is to do about a lease. */
+/** The next action of a process for a lease. */
 public sealed interface LeaseDecision {
-  /** Create the lease, if there is none. */
+  /** Create the lease if it does not exist. */
   record Create(LeaseRecord lease) implements LeaseDecision {}
 
-  /** Replace the lease, if it still has that version. */
+  /** Replace the lease if it still has the expected version. */
   record Update(String expectedVersion, LeaseRecord lease) implements LeaseDecision {}
 
-  /** Read the lease again after a while. */
+  /** Read the lease again after this time. */
   record Wait(long nanoseconds) implements LeaseDecision {}
 }
--- a/lease/src/main/java/org/agatefield/lease/LeaseGrant.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseGrant.java
@@ -1,9 +1,9 @@
 package org.agatefield.lease;
 
 /**
- * Proof that a holder has a lease for a while. Immutable.
+ * A grant of a lease to a holder for a limited time. Immutable.
  *
  * @param fencingToken larger than that of every earlier grant of the same lease to a new holder
- * @param validUntilNanoseconds the monotonic time of the holder at which the grant ends
+ * @param validUntilNanoseconds time on the holder's monotonic clock at which the grant ends
  */
 public record LeaseGrant(long fencingToken, long validUntilNanoseconds) {}
--- a/lease/src/main/java/org/agatefield/lease/LeaseProtocol.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseProtocol.java
@@ -6,20 +6,19 @@
 /**
  * Decides how a process acquires, renews and releases a lease by conditional writes.
  *
- * <p>Invariants, as long as rates of monotonic clocks differ by at most the stated drift and the
- * object is never deleted:
+ * <p>Invariants, as long as the rates of monotonic clocks differ by at most the configured drift
+ * and the lease object is never deleted:
  *
  * <ul>
- *   <li>two grants to different holders never overlap in real time: a holder trusts its grant for
- *       less than the duration from <em>before</em> its write was sent, a challenger waits for more
- *       than the duration from when it <em>saw</em> the last write, and its conditional write fails
- *       if another came between;
- *   <li>a grant to another holder than before, and one after a lapse, has a larger fencing token
- *       than every grant before.
+ *   <li>Grants to different holders never overlap in real time. A holder uses its grant for less
+ *       than the duration, counted from <em>before</em> it sent the write. A challenger waits for
+ *       more than the duration, counted from when it <em>observed</em> the last write, and its
+ *       conditional write fails if there was another write in between.
+ *   <li>A grant to a new holder, or after a grant expired, has a larger fencing token than every
+ *       earlier grant.
  * </ul>
  *
- * <p>No wall clock and no clock of another process is used. Immutable and safe for use by any
- * thread.
+ * <p>Uses neither wall clocks nor clocks of other processes. Immutable and thread-safe.
  */
 public final class LeaseProtocol {
   private static final long FIRST_TOKEN = 1;
@@ -29,7 +28,7 @@
   private final Predicate<String> dead;
 
   /**
-   * Creates the protocol of one process.
+   * Creates the protocol for one process.
    *
    * @param holder unique to the process, not empty
    */
@@ -38,10 +37,11 @@
   }
 
   /**
-   * Creates the protocol of one process that knows of some holders that they have ended.
+   * Creates the protocol for one process, which need not wait for holders that are proved dead.
    *
    * @param holder unique to the process, not empty
-   * @param dead true only for holders that are proved to have ended and will never act again
+   * @param dead returns true only for holders that are proved to have ended and will never act
+   *     again
    */
   public LeaseProtocol(String holder, LeaseTerms terms, Predicate<String> dead) {
     if (holder.isEmpty()) {
@@ -53,13 +53,14 @@
   }
 
   /**
-   * Takes in what a read showed.
+   * Records the lease that a read returned.
    *
-   * @param nowNanoseconds monotonic time after the read's answer came
+   * @param nowNanoseconds monotonic time after the response to the read arrived
    */
   public LeaseState observe(
       LeaseState state, String version, LeaseRecord lease, long nowNanoseconds) {
-    boolean unchanged = state.observed().filter(seen -> seen.version().equals(version)).isPresent();
+    boolean unchanged =
+        state.observed().filter(observed -> observed.version().equals(version)).isPresent();
     if (unchanged) {
       return state;
     }
@@ -67,39 +68,39 @@
         Optional.of(new LeaseState.Observation(version, lease, nowNanoseconds)), state.grant());
   }
 
-  /** Takes in that a read showed no lease. */
+  /** Records that a read found no lease. */
   public LeaseState observeAbsent(LeaseState state) {
     return new LeaseState(Optional.empty(), state.grant());
   }
 
-  /** Returns what to do now, given an up-to-date observation. */
+  /** Returns the next action, given an up-to-date observation. */
   public LeaseDecision decide(LeaseState state, long nowNanoseconds) {
     if (state.observed().isEmpty()) {
       return new LeaseDecision.Create(record(FIRST_TOKEN));
     }
-    LeaseState.Observation seen = state.observed().get();
-    LeaseRecord lease = seen.lease();
+    LeaseState.Observation observed = state.observed().get();
+    LeaseRecord lease = observed.lease();
     if (lease.holder().equals(holder)) {
       long token =
           state.grantAt(nowNanoseconds).isPresent()
               ? lease.fencingToken()
               : lease.fencingToken() + 1;
-      return new LeaseDecision.Update(seen.version(), record(token));
+      return new LeaseDecision.Update(observed.version(), record(token));
     }
-    long waited = nowNanoseconds - seen.unchangedSinceNanoseconds();
-    long patience = terms.takeoverWaitNanoseconds(lease.durationNanoseconds());
-    boolean mayStillAct = !lease.holder().isEmpty() && !dead.test(lease.holder());
-    if (mayStillAct && waited < patience) {
-      return new LeaseDecision.Wait(patience - waited);
+    long waited = nowNanoseconds - observed.unchangedSinceNanoseconds();
+    long takeoverWait = terms.takeoverWaitNanoseconds(lease.durationNanoseconds());
+    boolean holderMayAct = !lease.holder().isEmpty() && !dead.test(lease.holder());
+    if (holderMayAct && waited < takeoverWait) {
+      return new LeaseDecision.Wait(takeoverWait - waited);
     }
-    return new LeaseDecision.Update(seen.version(), record(lease.fencingToken() + 1));
+    return new LeaseDecision.Update(observed.version(), record(lease.fencingToken() + 1));
   }
 
   /**
-   * Takes in that a write of this process is known to have taken effect.
+   * Records a write of this process that is confirmed to have taken effect.
    *
    * @param sentAtNanoseconds monotonic time before the write was sent
-   * @param nowNanoseconds monotonic time after its answer came
+   * @param nowNanoseconds monotonic time after its confirmation arrived
    */
   public LeaseState recordWrite(
       LeaseRecord lease, String version, long sentAtNanoseconds, long nowNanoseconds) {
@@ -111,17 +112,17 @@
   }
 
   /**
-   * Returns the write that gives the lease up, if this process is its holder as far as it knows.
-   * The caller stops acting on the grant before it writes.
+   * Returns the write that releases the lease, if the last observation names this process as
+   * holder. The caller must stop using the grant before it writes.
    */
   public Optional<LeaseDecision.Update> release(LeaseState state) {
     return state
         .observed()
-        .filter(seen -> seen.lease().holder().equals(holder))
-        .map(seen -> new LeaseDecision.Update(seen.version(), seen.lease().released()));
+        .filter(observed -> observed.lease().holder().equals(holder))
+        .map(observed -> new LeaseDecision.Update(observed.version(), observed.lease().released()));
   }
 
-  /** Returns how long to wait after a write until the next renewal. */
+  /** Returns the time from a write to the next renewal. */
   public long renewIntervalNanoseconds() {
     return terms.renewIntervalNanoseconds();
   }
--- a/lease/src/main/java/org/agatefield/lease/LeaseRecord.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseRecord.java
@@ -1,10 +1,10 @@
 package org.agatefield.lease;
 
 /**
- * A lease as it lies in the store. Immutable.
+ * A lease as stored. Immutable.
  *
- * @param holder the holder's identifier, never used again by a later process; empty if released
- * @param fencingToken rises with every new grant
+ * @param holder the holder's identifier, never reused by a later process; empty if released
+ * @param fencingToken increases with every grant to a new holder and after a grant expired
  * @param durationNanoseconds how long a grant lasts after a write
  */
 public record LeaseRecord(String holder, long fencingToken, long durationNanoseconds) {
--- a/lease/src/main/java/org/agatefield/lease/LeaseTerms.java
+++ b/lease/src/main/java/org/agatefield/lease/LeaseTerms.java
@@ -1,17 +1,18 @@
 package org.agatefield.lease;
 
 /**
- * How a lease is held. Immutable.
+ * Durations of a lease. Immutable.
  *
  * @param durationNanoseconds how long a grant lasts after a write
- * @param renewIntervalNanoseconds how often the holder writes; well below the duration
- * @param clockDriftPerMillion how far the rates of two monotonic clocks may differ, in millionths
+ * @param renewIntervalNanoseconds time between two writes of the holder; well below the duration
+ * @param clockDriftPerMillion maximum difference between the rates of two monotonic clocks, in
+ *     millionths
  */
 public record LeaseTerms(
     long durationNanoseconds, long renewIntervalNanoseconds, long clockDriftPerMillion) {
   private static final long MILLION = 1_000_000;
 
-  /** Checks the relations. */
+  /** Validates the durations and the drift. */
   public LeaseTerms {
     if (renewIntervalNanoseconds <= 0 || renewIntervalNanoseconds >= durationNanoseconds) {
       throw new IllegalArgumentException("renew interval: not between 0 and the duration");
@@ -21,12 +22,12 @@
     }
   }
 
-  /** Returns how long a holder trusts a grant, by its own clock, from before the write was sent. */
+  /** Returns how long a grant is valid on the holder's clock, from before its write was sent. */
   long grantValidityNanoseconds() {
     return durationNanoseconds - drift(durationNanoseconds);
   }
 
-  /** Returns how long a challenger waits by its own clock, from when it saw the last change. */
+  /** Returns how long a challenger waits on its own clock after it observed the last change. */
   long takeoverWaitNanoseconds(long holderDurationNanoseconds) {
     return holderDurationNanoseconds + drift(holderDurationNanoseconds);
   }
--- a/lease/src/test/java/org/agatefield/lease/LeaseProtocolTest.java
+++ b/lease/src/test/java/org/agatefield/lease/LeaseProtocolTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.agatefield.lease.SimulatedLeaseWorld.Fault;
-import org.agatefield.lease.SimulatedLeaseWorld.RealGrant;
+import org.agatefield.lease.LeaseSimulation.Fault;
+import org.agatefield.lease.LeaseSimulation.RealGrant;
 import org.junit.jupiter.api.Test;
 
 class LeaseProtocolTest {
@@ -20,65 +20,65 @@
   private static final LeaseTerms TERMS = new LeaseTerms(100, 25, 0);
 
   @Property(tries = 20_000, seed = "42", edgeCases = EdgeCasesMode.NONE)
-  void grantsOfTwoHoldersNeverOverlapAndTokensRise(
+  void grantsToDifferentHoldersNeverOverlapAndTokensIncrease(
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0, max = 0.5) double faultShare,
       @ForAll @IntRange(min = 1, max = 5) int contenders) {
-    List<RealGrant> grants = new SimulatedLeaseWorld(seed, faultShare, Fault.NONE).run(contenders);
+    List<RealGrant> grants = new LeaseSimulation(seed, faultShare, Fault.NONE).run(contenders);
     assertEquals(List.of(), violations(grants));
   }
 
   @Test
-  void leaseChangesHandsInMostRunsWithFaults() {
+  void leaseChangesItsHolderInMostRunsWithFaults() {
     long changed = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      List<RealGrant> grants = new SimulatedLeaseWorld(seed, 0.2, Fault.NONE).run(4);
+      List<RealGrant> grants = new LeaseSimulation(seed, 0.2, Fault.NONE).run(4);
       changed += grants.stream().map(RealGrant::process).distinct().count() > 1 ? 1 : 0;
     }
-    System.out.println("NONE: changed hands in " + changed + " of " + RUNS + " runs");
+    System.out.println("NONE: holder changed in " + changed + " of " + RUNS + " runs");
     assertTrue(changed > RUNS / 2);
   }
 
   @Test
-  void trustFromTheAnswerOverlaps() {
-    assertTrue(brokenRuns(Fault.TRUST_FROM_ANSWER) > 0);
+  void grantCountedFromTheResponseOverlaps() {
+    assertTrue(runsWithViolations(Fault.TRUST_FROM_ANSWER) > 0);
   }
 
   @Test
-  void challengeWithoutWaitingOverlaps() {
-    assertTrue(brokenRuns(Fault.CHALLENGE_WITHOUT_WAITING) > 0);
+  void takeoverWithoutWaitingOverlaps() {
+    assertTrue(runsWithViolations(Fault.CHALLENGE_WITHOUT_WAITING) > 0);
   }
 
   @Test
-  void challengeAfterHalfTheDurationOverlaps() {
-    assertTrue(brokenRuns(Fault.CHALLENGE_AFTER_HALF) > 0);
+  void takeoverAfterHalfTheDurationOverlaps() {
+    assertTrue(runsWithViolations(Fault.CHALLENGE_AFTER_HALF) > 0);
   }
 
   @Test
-  void keptTokenDoesNotRise() {
-    assertTrue(brokenRuns(Fault.KEEP_TOKEN) > 0);
+  void unchangedTokenViolatesTheInvariant() {
+    assertTrue(runsWithViolations(Fault.KEEP_TOKEN) > 0);
   }
 
   @Test
-  void ignoredClockDriftOverlapsInWorstCase() {
+  void ignoredClockDriftOverlapsInTheWorstCase() {
     assertEquals(true, overlapsAtWorstDrift(0));
     assertEquals(false, overlapsAtWorstDrift(10_000));
   }
 
   @Test
-  void leaseOfHolderThatIsProvedDeadIsTakenAtOnceAndOneOfAnotherIsNot() {
+  void onlyLeaseOfDeadHolderIsTakenOverWithoutWaiting() {
     LeaseProtocol protocol = new LeaseProtocol("b-2", TERMS, "b-1"::equals);
-    LeaseRecord ofEarlierLife = new LeaseRecord("b-1", 7, TERMS.durationNanoseconds());
-    LeaseState state = protocol.observe(LeaseState.unknown(), "v", ofEarlierLife, 0);
+    LeaseRecord ofDeadHolder = new LeaseRecord("b-1", 7, TERMS.durationNanoseconds());
+    LeaseState state = protocol.observe(LeaseState.unknown(), "v", ofDeadHolder, 0);
     LeaseDecision.Update update = (LeaseDecision.Update) protocol.decide(state, 1);
     assertEquals(8, update.lease().fencingToken());
-    LeaseRecord ofAnother = new LeaseRecord("c-1", 7, TERMS.durationNanoseconds());
-    LeaseState other = protocol.observe(LeaseState.unknown(), "v", ofAnother, 0);
+    LeaseRecord ofLiveHolder = new LeaseRecord("c-1", 7, TERMS.durationNanoseconds());
+    LeaseState other = protocol.observe(LeaseState.unknown(), "v", ofLiveHolder, 0);
     assertTrue(protocol.decide(other, 1) instanceof LeaseDecision.Wait);
   }
 
   @Test
-  void releasedLeaseIsTakenAtOnce() {
+  void releasedLeaseIsTakenOverWithoutWaiting() {
     LeaseProtocol protocol = new LeaseProtocol("b", TERMS);
     LeaseState state = protocol.observe(LeaseState.unknown(), "7", new LeaseRecord("", 4, 100), 0);
     assertEquals(
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void holderGivesUpOnlyItsOwnLease() {
+  void holderReleasesOnlyItsOwnLease() {
     LeaseProtocol protocol = new LeaseProtocol("b", TERMS);
     LeaseState other = protocol.observe(LeaseState.unknown(), "7", new LeaseRecord("a", 4, 100), 0);
     assertEquals(Optional.empty(), protocol.release(other));
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void holderThatLapsedTakesNewToken() {
+  void holderGetsNewTokenAfterItsGrantExpired() {
     LeaseProtocol protocol = new LeaseProtocol("b", TERMS);
     LeaseState state = protocol.recordWrite(new LeaseRecord("b", 5, 100), "8", 0, 1);
     assertEquals(
@@ -106,7 +106,10 @@
         new LeaseDecision.Update("8", new LeaseRecord("b", 6, 100)), protocol.decide(state, 100));
   }
 
-  /** A slow holder renews just when its write takes effect; a fast challenger sees it at once. */
+  /**
+   * Returns whether grants overlap if the holder's clock is slow, the challenger's is fast, and the
+   * challenger observes the write at the moment at which the holder sent it.
+   */
   private static boolean overlapsAtWorstDrift(long driftPerMillion) {
     LeaseTerms terms = new LeaseTerms(100_000_000, 25_000_000, driftPerMillion);
     double slow = 0.996;
@@ -115,20 +118,20 @@
     LeaseState held = holder.recordWrite(new LeaseRecord("a", 1, 100_000_000), "1", 0, 0);
     final double holderEnds = held.grant().orElseThrow().validUntilNanoseconds() / slow;
     LeaseProtocol challenger = new LeaseProtocol("b", terms);
-    LeaseState seen =
+    LeaseState observed =
         challenger.observe(LeaseState.unknown(), "1", new LeaseRecord("a", 1, 100_000_000), 0);
-    LeaseDecision.Wait wait = (LeaseDecision.Wait) challenger.decide(seen, 0);
+    LeaseDecision.Wait wait = (LeaseDecision.Wait) challenger.decide(observed, 0);
     return wait.nanoseconds() / fast < holderEnds;
   }
 
-  private static long brokenRuns(Fault fault) {
-    long broken = 0;
+  private static long runsWithViolations(Fault fault) {
+    long violated = 0;
     for (long seed = 1; seed <= RUNS; seed++) {
-      List<RealGrant> grants = new SimulatedLeaseWorld(seed, 0.2, fault).run(4);
-      broken += violations(grants).isEmpty() ? 0 : 1;
+      List<RealGrant> grants = new LeaseSimulation(seed, 0.2, fault).run(4);
+      violated += violations(grants).isEmpty() ? 0 : 1;
     }
-    System.out.println(fault + ": violations in " + broken + " of " + RUNS + " runs");
-    return broken;
+    System.out.println(fault + ": violations in " + violated + " of " + RUNS + " runs");
+    return violated;
   }
 
   private static List<String> violations(List<RealGrant> grants) {
@@ -149,7 +152,7 @@
       found.add("overlap of " + earlier + " and " + later);
     }
     if (later.token() <= earlier.token()) {
-      found.add("token does not rise from " + earlier + " to " + later);
+      found.add("token does not increase from " + earlier + " to " + later);
     }
   }
 }
--- a/lease/src/test/java/org/agatefield/lease/SimulatedLeaseWorld.java
+++ b/lease/src/test/java/org/agatefield/lease/LeaseSimulation.java
@@ -6,11 +6,11 @@
 import java.util.Random;
 
 /**
- * Processes with drifting clocks that contend for one lease over a store whose writes come late and
- * whose answers are lost. Used from one thread; the same seed gives the same run.
+ * Simulates processes with drifting clocks that compete for one lease, in a store whose writes are
+ * delayed and whose responses are lost. Confined to one thread; the same seed gives the same run.
  */
-final class SimulatedLeaseWorld {
-  /** A part of the protocol that is switched off, to see what it is needed for. */
+final class LeaseSimulation {
+  /** Faults of the protocol, each of which must cause violations. */
   enum Fault {
     NONE,
     TRUST_FROM_ANSWER,
@@ -27,7 +27,7 @@
   record RealGrant(int process, long token, double from, double until) {}
 
   private static final int STEPS = 600;
-  private static final double LONGEST_STEP_NANOSECONDS = 4_000_000;
+  private static final double MAXIMUM_STEP_NANOSECONDS = 4_000_000;
 
   final Random random;
   final Fault fault;
@@ -40,7 +40,7 @@
   private long lastVersion;
   private int processes;
 
-  SimulatedLeaseWorld(long seed, double faultShare, Fault fault) {
+  LeaseSimulation(long seed, double faultShare, Fault fault) {
     this.random = new Random(seed);
     this.faultShare = faultShare;
     this.fault = fault;
@@ -51,7 +51,7 @@
       holders.add(new SimulatedHolder(this, processes++));
     }
     for (int step = 0; step < STEPS; step++) {
-      realNanoseconds += random.nextDouble() * LONGEST_STEP_NANOSECONDS;
+      realNanoseconds += random.nextDouble() * MAXIMUM_STEP_NANOSECONDS;
       if (!wire.isEmpty() && random.nextBoolean()) {
         wire.remove(random.nextInt(wire.size())).run();
         continue;
@@ -78,7 +78,7 @@
     return current;
   }
 
-  /** Writes if the version is still the expected one; 0 expects that there is no lease. */
+  /** Writes if the lease still has the expected version; 0 means that it must not exist. */
   boolean write(long expectedVersion, LeaseRecord lease) {
     if (current.map(Versioned::version).orElse(0L) != expectedVersion) {
       return false;
--- a/lease/src/test/java/org/agatefield/lease/SimulatedHolder.java
+++ b/lease/src/test/java/org/agatefield/lease/SimulatedHolder.java
@@ -1,16 +1,16 @@
 package org.agatefield.lease;
 
 import java.util.Optional;
-import org.agatefield.lease.SimulatedLeaseWorld.Fault;
+import org.agatefield.lease.LeaseSimulation.Fault;
 
-/** One process that contends for the lease, with a clock of its own. Used from one thread. */
+/** A process that competes for the lease, with its own clock. Confined to one thread. */
 final class SimulatedHolder {
   private static final long DURATION = 100_000_000;
   private static final long RENEWAL = 25_000_000;
   private static final long DRIFT_PER_MILLION = 10_000;
-  private static final double LARGEST_RATE_ERROR = 0.0099;
+  private static final double MAXIMUM_RATE_ERROR = 0.0099;
 
-  private final SimulatedLeaseWorld world;
+  private final LeaseSimulation simulation;
   private final int process;
   private final double clockRate;
   private final long clockStart;
@@ -19,17 +19,17 @@
   private boolean waiting;
   private boolean mustRead = true;
 
-  SimulatedHolder(SimulatedLeaseWorld world, int process) {
-    this.world = world;
+  SimulatedHolder(LeaseSimulation simulation, int process) {
+    this.simulation = simulation;
     this.process = process;
-    double error = (world.random.nextDouble() * 2 - 1) * LARGEST_RATE_ERROR;
+    double error = (simulation.random.nextDouble() * 2 - 1) * MAXIMUM_RATE_ERROR;
     this.clockRate = 1 + error / 2;
-    this.clockStart = world.random.nextInt();
-    long drift = world.fault == Fault.IGNORE_CLOCK_DRIFT ? 0 : DRIFT_PER_MILLION;
+    this.clockStart = simulation.random.nextInt();
+    long drift = simulation.fault == Fault.IGNORE_CLOCK_DRIFT ? 0 : DRIFT_PER_MILLION;
     this.protocol = new LeaseProtocol("p" + process, new LeaseTerms(DURATION, RENEWAL, drift));
   }
 
-  /** Takes the next step, unless an answer is awaited. */
+  /** Executes the next step unless a response is pending. */
   void step() {
     if (waiting) {
       return;
@@ -43,19 +43,21 @@
 
   private void read() {
     waiting = true;
-    world.onWire(
+    simulation.onWire(
         () -> {
-          Optional<SimulatedLeaseWorld.Versioned> found = world.read();
-          world.onWire(() -> readCompleted(found));
+          Optional<LeaseSimulation.Versioned> found = simulation.read();
+          simulation.onWire(() -> onReadCompleted(found));
         });
   }
 
-  private void readCompleted(Optional<SimulatedLeaseWorld.Versioned> found) {
+  private void onReadCompleted(Optional<LeaseSimulation.Versioned> found) {
     waiting = false;
     mustRead = false;
     state =
         found
-            .map(seen -> protocol.observe(state, "" + seen.version(), seen.lease(), clock()))
+            .map(
+                observed ->
+                    protocol.observe(state, "" + observed.version(), observed.lease(), clock()))
             .orElseGet(() -> protocol.observeAbsent(state));
   }
 
@@ -75,7 +77,7 @@
         decision instanceof LeaseDecision.Update update
             ? update.lease()
             : ((LeaseDecision.Create) decision).lease();
-    world.onWire(() -> write(expected, lease, sentAt));
+    simulation.onWire(() -> write(expected, lease, sentAt));
   }
 
   private LeaseDecision decide() {
@@ -83,64 +85,65 @@
     if (state.observed().isEmpty()) {
       return decision;
     }
-    LeaseState.Observation seen = state.observed().get();
-    long waited = clock() - seen.unchangedSinceNanoseconds();
-    boolean half = world.fault == Fault.CHALLENGE_AFTER_HALF && waited > DURATION / 2;
+    LeaseState.Observation observed = state.observed().get();
+    long waited = clock() - observed.unchangedSinceNanoseconds();
+    boolean half = simulation.fault == Fault.CHALLENGE_AFTER_HALF && waited > DURATION / 2;
     if (decision instanceof LeaseDecision.Wait
-        && (half || world.fault == Fault.CHALLENGE_WITHOUT_WAITING)) {
-      long token = seen.lease().fencingToken() + 1;
+        && (half || simulation.fault == Fault.CHALLENGE_WITHOUT_WAITING)) {
+      long token = observed.lease().fencingToken() + 1;
       return new LeaseDecision.Update(
-          seen.version(), new LeaseRecord("p" + process, token, DURATION));
+          observed.version(), new LeaseRecord("p" + process, token, DURATION));
     }
-    if (decision instanceof LeaseDecision.Update update && world.fault == Fault.KEEP_TOKEN) {
+    if (decision instanceof LeaseDecision.Update update && simulation.fault == Fault.KEEP_TOKEN) {
       return new LeaseDecision.Update(
-          seen.version(), new LeaseRecord("p" + process, seen.lease().fencingToken(), DURATION));
+          observed.version(),
+          new LeaseRecord("p" + process, observed.lease().fencingToken(), DURATION));
     }
     return decision;
   }
 
   private void write(long expected, LeaseRecord lease, long sentAt) {
-    if (world.chance(world.faultShare)) {
-      if (world.random.nextBoolean()) {
-        world.onWire(() -> world.write(expected, lease));
+    if (simulation.chance(simulation.faultShare)) {
+      if (simulation.random.nextBoolean()) {
+        simulation.onWire(() -> simulation.write(expected, lease));
       } else {
-        world.write(expected, lease);
+        simulation.write(expected, lease);
       }
-      world.onWire(this::unknown);
+      simulation.onWire(this::onWriteUnknown);
       return;
     }
-    boolean held = world.write(expected, lease);
-    long version = world.version();
-    world.onWire(() -> written(held, lease, version, sentAt));
+    boolean held = simulation.write(expected, lease);
+    long version = simulation.version();
+    simulation.onWire(() -> onWritten(held, lease, version, sentAt));
   }
 
-  private void unknown() {
+  private void onWriteUnknown() {
     waiting = false;
     mustRead = true;
   }
 
-  private void written(boolean held, LeaseRecord lease, long version, long sentAt) {
+  private void onWritten(boolean held, LeaseRecord lease, long version, long sentAt) {
     waiting = false;
     if (!held) {
       mustRead = true;
       return;
     }
-    long from = world.fault == Fault.TRUST_FROM_ANSWER ? clock() : sentAt;
+    long from = simulation.fault == Fault.TRUST_FROM_ANSWER ? clock() : sentAt;
     state = protocol.recordWrite(lease, "" + version, from, clock());
     LeaseGrant grant = state.grant().orElseThrow();
-    double until = real(grant.validUntilNanoseconds());
-    if (until > world.realNanoseconds) {
-      world.grants.add(
-          new SimulatedLeaseWorld.RealGrant(
-              process, grant.fencingToken(), world.realNanoseconds, until));
+    double until = toRealNanoseconds(grant.validUntilNanoseconds());
+    if (until > simulation.realNanoseconds) {
+      simulation.grants.add(
+          new LeaseSimulation.RealGrant(
+              process, grant.fencingToken(), simulation.realNanoseconds, until));
     }
   }
 
   private long clock() {
-    return clockStart + (long) (world.realNanoseconds * clockRate);
+    return clockStart + (long) (simulation.realNanoseconds * clockRate);
   }
 
-  private double real(long clockNanoseconds) {
+  private double toRealNanoseconds(long clockNanoseconds) {
     return (clockNanoseconds - clockStart) / clockRate;
   }
 }
--- a/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
+++ b/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
@@ -13,7 +13,6 @@
 import org.agatefield.placement.DrainPolicy;
 import org.agatefield.placement.LedgerAges;
 import org.agatefield.placement.LedgerEntry;
-import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.placement.LedgerState;
 import org.agatefield.placement.LedgerTransitions;
 import org.agatefield.placement.LoadBudget;
@@ -153,7 +152,9 @@
   }
 
   private void release(String upstream, VersionId version) {
-    update(upstream, ledger -> LedgerTransitions.forget(LedgerTransitions.release(ledger, version), version));
+    update(
+        upstream,
+        ledger -> LedgerTransitions.forget(LedgerTransitions.release(ledger, version), version));
     fleet.publishReplicas();
   }
 
--- a/membership/src/main/java/org/agatefield/membership/DomainRelays.java
+++ b/membership/src/main/java/org/agatefield/membership/DomainRelays.java
@@ -13,18 +13,22 @@
 import org.agatefield.model.InstanceState;
 
 /**
- * Who speaks for each failure domain towards the others and the store.
+ * Selects the relay of each failure domain for messages from other domains and for store watches.
  *
- * <p>Answers the load that grows with the square of the instances: in a failure domain of more than
- * {@link #LARGEST_DIRECT_DOMAIN} instances, the first by identifier is the relay; it gets what is
- * meant for the domain and hands it on. Of a region's relays only the first by its domain's name
- * watches the store. Instances with the same view agree on it. Immutable.
+ * <p>Without relays, the number of messages would grow with the square of the number of instances.
+ * In a failure domain of more than {@link #LARGEST_DIRECT_DOMAIN} instances, the first by
+ * identifier is the relay: it receives the messages for the domain and forwards them. Only the
+ * first of a region's relays, by the name of its domain, watches the store. Instances with the same
+ * view select the same relays. Immutcandidates.
  */
 public final class DomainRelays {
-  /** Up to this many instances of a failure domain are each spoken to directly. */
-  public static final int LARGEST_DIRECT_DOMAIN = 3; // the messages saved would be delay only
+  /**
+   * Number of instances up to which a failure domain has no relay. A relay would save few messages
+   * there, at the price of additional delay.
+   */
+  public static final int LARGEST_DIRECT_DOMAIN = 3;
 
-  private static final int MOST_SOURCES = 3; // two may be lost at once
+  private static final int MAXIMUM_SOURCES = 3; // two may fail at the same time
 
   private final Instance self;
   private final Set<String> answering;
@@ -36,10 +40,10 @@
   private final boolean representsDomain;
 
   /**
-   * Computes who speaks for whom.
+   * Selects the relays.
    *
-   * @param alive the instances that are believed to live, this one included
-   * @param answering those of them that are not suspected; only these become relays
+   * @param alive the instances that are believed to be alive, including this one
+   * @param answering those that are not suspected; only these become relays
    */
   public DomainRelays(Instance self, Collection<Instance> alive, Collection<Instance> answering) {
     this.self = self;
@@ -52,14 +56,14 @@
                 domains
                     .computeIfAbsent(instance.failureDomain(), ignored -> new ArrayList<>())
                     .add(instance));
-    domains.forEach(this::place);
+    domains.forEach(this::addPeers);
     List<Instance> own = domains.getOrDefault(self.failureDomain(), List.of(self));
     this.large = own.size() > LARGEST_DIRECT_DOMAIN;
     own.stream().filter(instance -> !instance.id().equals(self.id())).forEach(neighbours::add);
     if (large) {
       neighbours.stream()
           .filter(instance -> mayRelay(instance) && instance.id().compareTo(self.id()) < 0)
-          .limit(MOST_SOURCES)
+          .limit(MAXIMUM_SOURCES)
           .forEach(sources::add);
     }
     this.representsDomain = sources.isEmpty();
@@ -68,7 +72,7 @@
     }
   }
 
-  /** Adds the relays of the region's large failure domains that come before this one by name. */
+  /** Adds the relays of the region's large failure domains whose names sort before this one's. */
   private void addSourcesOfRegion(Map<FailureDomain, List<Instance>> domains) {
     FailureDomain here = self.failureDomain();
     domains.entrySet().stream()
@@ -77,19 +81,19 @@
         .filter(entry -> entry.getValue().size() > LARGEST_DIRECT_DOMAIN)
         .sorted(Comparator.comparing(entry -> entry.getKey().name()))
         .flatMap(entry -> entry.getValue().stream().filter(this::mayRelay).limit(1))
-        .limit(MOST_SOURCES)
+        .limit(MAXIMUM_SOURCES)
         .forEach(sources::add);
   }
 
-  private void place(FailureDomain domain, List<Instance> members) {
+  private void addPeers(FailureDomain domain, List<Instance> members) {
     if (domain.equals(self.failureDomain())) {
       return;
     }
-    List<Instance> able = members.stream().filter(this::mayRelay).toList();
-    if (members.size() <= LARGEST_DIRECT_DOMAIN || able.isEmpty()) {
+    List<Instance> candidates = members.stream().filter(this::mayRelay).toList();
+    if (members.size() <= LARGEST_DIRECT_DOMAIN || candidates.isEmpty()) {
       directPeers.addAll(members);
     } else {
-      relays.add(able.get(0));
+      relays.add(candidates.get(0));
     }
   }
 
@@ -102,7 +106,7 @@
     return List.copyOf(neighbours);
   }
 
-  /** Returns the instances of other failure domains that no relay speaks for. */
+  /** Returns the instances of other failure domains that have no relay. */
   public List<Instance> directPeers() {
     return List.copyOf(directPeers);
   }
@@ -113,8 +117,8 @@
   }
 
   /**
-   * Returns the instances that this one learns from instead of from the store, best first; empty if
-   * it is to watch the store itself. Following them never leads back to this one.
+   * Returns the instances from which this one gets store changes, in order of preference; empty if
+   * it must watch the store itself. The chain of sources never leads back to this instance.
    */
   public List<Instance> sources() {
     return List.copyOf(sources);
@@ -125,7 +129,7 @@
     return large;
   }
 
-  /** Returns whether this instance speaks for its failure domain, or for itself only. */
+  /** Returns whether this instance is its domain's relay, or belongs to a domain without one. */
   public boolean representsDomain() {
     return representsDomain;
   }
--- a/membership/src/main/java/org/agatefield/membership/GossipQueue.java
+++ b/membership/src/main/java/org/agatefield/membership/GossipQueue.java
@@ -7,35 +7,35 @@
 import java.util.Map;
 
 /**
- * News about members that is still to be sent, the least sent first.
+ * Queues member updates for gossip; those with the fewest transmissions are sent first.
  *
- * <p>Invariant: at most one piece of news for each member. Not safe for use by several threads.
+ * <p>Invariant: at most one update per member. Not thread-safe.
  */
 final class GossipQueue {
   private final Map<String, Item> items = new HashMap<>();
-  private long arrivals;
+  private long lastPosition;
 
   private static final class Item {
     private final MemberUpdate update;
-    private final long arrival;
+    private final long position;
     private int transmissions;
 
-    private Item(MemberUpdate update, long arrival) {
+    private Item(MemberUpdate update, long position) {
       this.update = update;
-      this.arrival = arrival;
+      this.position = position;
     }
   }
 
   void add(MemberUpdate update) {
-    arrivals++;
-    items.put(update.id(), new Item(update, arrivals));
+    lastPosition++;
+    items.put(update.id(), new Item(update, lastPosition));
   }
 
   boolean isEmpty() {
     return items.isEmpty();
   }
 
-  /** Takes up to {@code count} pieces; each is forgotten after {@code limit} transmissions. */
+  /** Returns up to {@code count} updates; each is removed after {@code limit} transmissions. */
   List<MemberUpdate> take(int count, int limit) {
     if (items.isEmpty()) {
       return List.of();
@@ -43,7 +43,7 @@
     List<Item> order = new ArrayList<>(items.values());
     order.sort(
         Comparator.<Item>comparingInt(item -> item.transmissions)
-            .thenComparing(item -> item.arrival, Comparator.reverseOrder()));
+            .thenComparing(item -> item.position, Comparator.reverseOrder()));
     List<MemberUpdate> taken = new ArrayList<>();
     for (Item item : order.subList(0, Math.min(count, order.size()))) {
       taken.add(item.update);
--- a/membership/src/main/java/org/agatefield/membership/Liveness.java
+++ b/membership/src/main/java/org/agatefield/membership/Liveness.java
@@ -1,11 +1,11 @@
 package org.agatefield.membership;
 
-/** What a member believes of another; at the same incarnation, later constants go before. */
+/** Liveness of a member as another one sees it; at equal incarnations, later constants win. */
 public enum Liveness {
-  /** It answers. */
+  /** It responds to probes. */
   ALIVE,
-  /** It did not answer a probe and has not yet refuted that. */
+  /** It did not respond to a probe and has not yet refuted the suspicion. */
   SUSPECT,
-  /** It was suspected and did not refute that in time. */
+  /** It was suspected and did not refute the suspicion in time. */
   DEAD
 }
--- a/membership/src/main/java/org/agatefield/membership/LocalHealth.java
+++ b/membership/src/main/java/org/agatefield/membership/LocalHealth.java
@@ -1,9 +1,9 @@
 package org.agatefield.membership;
 
 /**
- * How far this member trusts its own timers: a member that is slow itself gives others more time.
+ * Tracks whether this member itself is slow, and lengthens its time-outs for others if it is.
  *
- * <p>Invariant: the score lies between 0 and its maximum. Not safe for use by several threads.
+ * <p>Invariant: the score is between 0 and its maximum. Not thread-safe.
  */
 final class LocalHealth {
   private final int maximumScore;
--- a/membership/src/main/java/org/agatefield/membership/MemberTable.java
+++ b/membership/src/main/java/org/agatefield/membership/MemberTable.java
@@ -10,18 +10,17 @@
 import org.agatefield.model.InstanceState;
 
 /**
- * What this member believes of the others.
+ * Holds this member's view of the other members.
  *
- * <p>Invariants: the incarnation of an entry never falls; a dead entry becomes alive only by a
- * higher incarnation, which the member itself alone can give; an entry becomes dead only when a
- * suspicion of this member's own has run out; a leaving member never becomes live again. Not safe
- * for use by several threads.
+ * <p>Invariants: the incarnation of an entry never decreases; a dead entry becomes alive only with
+ * a higher incarnation, which only the member itself can issue; an entry becomes dead only when a
+ * suspicion in this table has expired; a leaving member never becomes live again. Not thread-safe.
  */
 final class MemberTable {
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private int deadCount;
 
-  /** One other member. */
+  /** The entry of another member. */
   static final class Entry {
     private MemberUpdate update;
     private long suspicionDeadline;
@@ -40,7 +39,7 @@
     return Optional.ofNullable(entries.get(id));
   }
 
-  /** Returns those that are alive or suspected, in the order of their identifiers. */
+  /** Returns the members that are alive or suspected, ordered by identifier. */
   List<MemberUpdate> present() {
     return entries.values().stream().filter(entry -> !entry.isDead()).map(Entry::update).toList();
   }
@@ -53,7 +52,7 @@
     return entries.size() - deadCount;
   }
 
-  /** Returns up to {@code count} present members above {@code afterId}. */
+  /** Returns up to {@code count} present members with identifiers above {@code afterId}. */
   List<MemberUpdate> page(String afterId, int count) {
     return entries.tailMap(afterId, false).values().stream()
         .filter(entry -> !entry.isDead())
@@ -63,10 +62,10 @@
   }
 
   /**
-   * Takes in a statement.
+   * Merges an update.
    *
-   * @param suspicionMilliseconds how long a suspicion that starts now lasts
-   * @return whether the entry changed, so that others should hear of it
+   * @param suspicionMilliseconds duration of a suspicion that starts now
+   * @return whether the entry changed, so that the update should be spread
    */
   boolean merge(MemberUpdate update, long now, long suspicionMilliseconds) {
     Entry entry = entries.get(update.id());
@@ -87,7 +86,7 @@
     return true;
   }
 
-  /** Starts a suspicion of this member's own; does nothing if there is one. */
+  /** Suspects a member that is believed to be alive; returns whether the entry changed. */
   boolean suspect(String id, long deadline) {
     Entry entry = entries.get(id);
     if (entry == null || entry.update.liveness() != Liveness.ALIVE) {
@@ -97,7 +96,7 @@
     return true;
   }
 
-  /** Declares those dead whose suspicion has run out and returns them. */
+  /** Declares members with expired suspicions dead and returns them. */
   List<MemberUpdate> expireSuspicions(long now) {
     List<MemberUpdate> expired = new ArrayList<>();
     for (Entry entry : entries.values()) {
@@ -109,15 +108,15 @@
     return expired;
   }
 
-  /** Gives every suspicion more time, after this process stood still. */
+  /** Extends every suspicion after this process was paused. */
   void postponeSuspicions(long milliseconds) {
     for (Entry entry : entries.values()) {
       entry.suspicionDeadline += milliseconds;
     }
   }
 
-  /** Forgets the dead that died before {@code time}, and the oldest above {@code maximum}. */
-  void forgetDead(long time, int maximum) {
+  /** Removes members that died before {@code time}, and the oldest beyond {@code maximum}. */
+  void removeDead(long time, int maximum) {
     if (deadCount == 0) {
       return;
     }
@@ -143,15 +142,15 @@
 
   private void replace(Entry entry, MemberUpdate update, long now, long suspicionMilliseconds) {
     final boolean wasDead = entry.isDead();
-    MemberUpdate kept = keepLeaving(entry.update, update);
+    MemberUpdate merged = preserveLeaving(entry.update, update);
     if (wasDead && update.liveness() != Liveness.ALIVE) {
-      entry.update = with(kept, Liveness.DEAD);
+      entry.update = with(merged, Liveness.DEAD);
       return;
     }
     if (wasDead) {
       deadCount--;
     }
-    entry.update = with(kept, Liveness.ALIVE);
+    entry.update = with(merged, Liveness.ALIVE);
     if (update.liveness() != Liveness.ALIVE) {
       startSuspicion(entry, now + suspicionMilliseconds);
     }
@@ -168,7 +167,7 @@
     deadCount++;
   }
 
-  private static MemberUpdate keepLeaving(MemberUpdate before, MemberUpdate after) {
+  private static MemberUpdate preserveLeaving(MemberUpdate before, MemberUpdate after) {
     if (before.instance().state() != InstanceState.LEAVING) {
       return after;
     }
@@ -188,7 +187,7 @@
     return new MemberUpdate(update.instance(), update.incarnation(), liveness);
   }
 
-  /** Returns a hash of {@code members} that does not depend on their order. */
+  /** Returns an order-independent hash of {@code members}. */
   static long hash(Collection<MemberUpdate> members) {
     long hash = 0;
     for (MemberUpdate member : members) {
--- a/membership/src/main/java/org/agatefield/membership/MemberUpdate.java
+++ b/membership/src/main/java/org/agatefield/membership/MemberUpdate.java
@@ -3,12 +3,12 @@
 import org.agatefield.model.Instance;
 
 /**
- * A statement about one member, as it travels. Immutable.
+ * An update about one member, as exchanged between members. Immutable.
  *
- * @param instance the member, with the state that it last said of itself
- * @param incarnation raised by the member alone, whenever it changes its state or refutes a
- *     suspicion; the statement with the higher one holds
- * @param liveness what is believed of it
+ * @param instance the member, with the state that it last reported
+ * @param incarnation incremented only by the member itself when it changes its state or refutes a
+ *     suspicion; the update with the higher incarnation wins
+ * @param liveness the liveness of the member in the sender's view
  */
 public record MemberUpdate(Instance instance, long incarnation, Liveness liveness) {
   /** Returns the member's identifier. */
--- a/membership/src/main/java/org/agatefield/membership/Membership.java
+++ b/membership/src/main/java/org/agatefield/membership/Membership.java
@@ -8,13 +8,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One member of a group: takes events and the time, and says what to do.
+ * The state machine of one group member: handles events and returns the actions to take.
  *
- * <p>Invariants: a member is declared dead only after a suspicion that it had time to refute; the
- * dead come back only by a higher incarnation of their own; the number of messages that a member
- * starts in an interval does not depend on the number of members, nor does the size of a message.
- * Not safe for use by several threads; the caller hands in events one at a time, with a monotonic
- * time in milliseconds.
+ * <p>Invariants: a member is declared dead only after a suspicion that it had time to refute; a
+ * dead member returns only with a higher incarnation that it issued; neither the number of messages
+ * that a member starts per interval nor the size of a message depends on the number of members. Not
+ * thread-safe; the caller passes events one at a time, with a monotonic time in milliseconds.
  */
 public final class Membership {
   private final MembershipSettings settings;
@@ -32,9 +31,9 @@
   private List<Address> seeds = List.of();
 
   /**
-   * Creates a member that knows nobody.
+   * Creates a member that knows no other members.
    *
-   * @param self this member; its identifier was never used before
+   * @param self this member; its identifier must never have been used before
    * @param now the time in milliseconds on a monotonic clock
    */
   public Membership(
@@ -49,9 +48,9 @@
     this.lastEvent = now;
   }
 
-  /** Takes one event and returns what to do, in order. */
+  /** Handles one event and returns the actions to take, in order. */
   public List<MembershipAction> handle(MembershipEvent event, long now) {
-    noticePause(now);
+    detectPause(now);
     Outbox outbox = new Outbox();
     if (event instanceof MembershipEvent.Tick) {
       tick(now, outbox);
@@ -69,43 +68,43 @@
     return outbox.actions;
   }
 
-  /** Returns what this member says of itself. */
+  /** Returns this member's own entry. */
   public MemberUpdate self() {
     return self;
   }
 
-  /** Returns the other members that are alive or suspected, in the order of their identifiers. */
+  /** Returns the other members that are alive or suspected, ordered by identifier. */
   public List<MemberUpdate> present() {
     return table.present();
   }
 
-  /** Returns the dead that are still remembered, in the order of their identifiers. */
+  /** Returns the dead members that are still remembered, ordered by identifier. */
   public List<MemberUpdate> dead() {
     return table.dead();
   }
 
-  /** Returns by how many times this member stretches its intervals; 0 when all is well. */
+  /** Returns by how many times this member lengthens its intervals; 0 if it is healthy. */
   public int healthScore() {
     return health.score();
   }
 
-  /** Gathers the actions of one event; gives every message its common parts. */
+  /** Collects the actions of one event and adds the fields that every message has. */
   final class Outbox {
     private final List<MembershipAction> actions = new ArrayList<>();
 
-    /** Sends a message that carries news. */
+    /** Sends a message with queued updates. */
     void send(Address address, MembershipMessage.Body body) {
       int limit = settings.transmissions(table.presentCount() + 1);
       send(address, queue.take(settings.updatesPerMessage(), limit), body);
     }
 
-    /** Sends a message that carries given statements. */
+    /** Sends a message with the given updates. */
     void send(Address address, List<MemberUpdate> updates, MembershipMessage.Body body) {
       MembershipMessage message = new MembershipMessage(self, generation, updates, body);
       actions.add(new MembershipAction.Send(address, message));
     }
 
-    /** Sends a message that tells a member what is believed of it, beside news. */
+    /** Sends a message with queued updates; also tells a suspected or dead member so. */
     void sendTo(MemberUpdate member, MembershipMessage.Body body) {
       if (member.liveness() == Liveness.ALIVE) {
         send(member.instance().peerAddress(), body);
@@ -118,14 +117,14 @@
       send(member.instance().peerAddress(), updates, body);
     }
 
-    /** Reports and spreads what is now believed of a member. */
+    /** Reports the change of a member and queues it for gossip. */
     void changed(MemberUpdate update) {
       queue.add(update);
       actions.add(new MembershipAction.MemberChanged(update));
     }
   }
 
-  private void noticePause(long now) {
+  private void detectPause(long now) {
     long gap = now - lastEvent;
     lastEvent = now;
     if (gap < settings.pauseMilliseconds()) {
@@ -138,7 +137,7 @@
 
   private void tick(long now, Outbox outbox) {
     table.expireSuspicions(now).forEach(outbox::changed);
-    table.forgetDead(now - settings.deadRetentionMilliseconds(), settings.maximumDead());
+    table.removeDead(now - settings.deadRetentionMilliseconds(), settings.maximumDead());
     prober.tick(now, outbox);
     if (schedule.probeDue(now, health)) {
       prober.start(now, outbox);
@@ -179,21 +178,21 @@
       found += merge(update, exchanged, now, outbox) ? 1 : 0;
     }
     if (found > 0) {
-      schedule.hastenExchange(now);
+      schedule.scheduleEarlyExchange(now);
     }
-    hearGeneration(message, outbox);
+    observeGeneration(message, outbox);
     if (body instanceof MembershipMessage.StateRequest request) {
       exchange.answer(self, message, request, outbox);
     } else if (body instanceof MembershipMessage.StateAnswer answer) {
-      exchange.goOn(self, message, answer, outbox);
+      exchange.continueExchange(self, message, answer, outbox);
     } else {
       prober.receive(self, message, now, outbox);
     }
   }
 
   /**
-   * Takes in a statement; says whether an exchange found a member that was not known. Such a member
-   * is no news to others, so it is not spread; whoever it contacted first spreads it.
+   * Merges an update; returns whether an exchange found an unknown member. Such a member is not
+   * spread, because the member that it contacted first does that.
    */
   private boolean merge(MemberUpdate update, boolean exchanged, long now, Outbox outbox) {
     if (update.id().equals(self.id())) {
@@ -205,12 +204,12 @@
     if (!table.merge(update, now, suspicion)) {
       return false;
     }
-    MemberUpdate believed = table.get(update.id()).orElseThrow().update();
+    MemberUpdate current = table.get(update.id()).orElseThrow().update();
     if (found) {
-      outbox.actions.add(new MembershipAction.MemberChanged(believed));
+      outbox.actions.add(new MembershipAction.MemberChanged(current));
       return true;
     }
-    outbox.changed(believed);
+    outbox.changed(current);
     return false;
   }
 
@@ -223,10 +222,11 @@
     outbox.changed(self);
   }
 
-  private void hearGeneration(MembershipMessage message, Outbox outbox) {
+  private void observeGeneration(MembershipMessage message, Outbox outbox) {
     if (message.generation() > generation) {
       outbox.actions.add(
-          new MembershipAction.GenerationObserved(message.sender().instance(), message.generation()));
+          new MembershipAction.GenerationObserved(
+              message.sender().instance(), message.generation()));
     }
   }
 
@@ -251,7 +251,7 @@
     outbox.changed(self);
   }
 
-  /** Returns what is believed of a member, if it was ever heard of and is not forgotten. */
+  /** Returns the entry of a member, if it is known. */
   public Optional<MemberUpdate> find(String id) {
     return id.equals(self.id()) ? Optional.of(self) : table.get(id).map(MemberTable.Entry::update);
   }
--- a/membership/src/main/java/org/agatefield/membership/MembershipAction.java
+++ b/membership/src/main/java/org/agatefield/membership/MembershipAction.java
@@ -3,27 +3,27 @@
 import org.agatefield.model.Address;
 import org.agatefield.model.Instance;
 
-/** What a member must do. */
+/** An action that a member must take. */
 public sealed interface MembershipAction {
   /**
    * Send a message; it may be lost. Immutable.
    *
-   * @param address where to
+   * @param address the receiver
    * @param message the message
    */
   record Send(Address address, MembershipMessage message) implements MembershipAction {}
 
   /**
-   * A member's liveness or state changed in this member's view. Immutable.
+   * Report that the liveness or state of a member changed in this member's view. Immutable.
    *
-   * @param update what is now believed
+   * @param update the new view of the member
    */
   record MemberChanged(MemberUpdate update) implements MembershipAction {}
 
   /**
-   * Another member has a higher configuration generation. Immutable.
+   * Report that another member has a higher configuration generation. Immutable.
    *
-   * @param holder who has it
+   * @param holder the instance that has it
    * @param generation the generation
    */
   record GenerationObserved(Instance holder, long generation) implements MembershipAction {}
--- a/membership/src/main/java/org/agatefield/membership/MembershipEvent.java
+++ b/membership/src/main/java/org/agatefield/membership/MembershipEvent.java
@@ -3,22 +3,22 @@
 import java.util.List;
 import org.agatefield.model.Address;
 
-/** What happens to a member. */
+/** An event that a member handles. */
 public sealed interface MembershipEvent {
-  /** Time passed; comes once every {@link MembershipSettings#tickMilliseconds()}. */
+  /** The clock tick, every {@link MembershipSettings#tickMilliseconds()}. */
   record Tick() implements MembershipEvent {}
 
   /**
-   * A message came. Immutable.
+   * A message was received. Immutable.
    *
-   * @param message the message, whose sender is where an answer goes
+   * @param message the message; answers go to its sender
    */
   record Received(MembershipMessage message) implements MembershipEvent {}
 
   /**
-   * The addresses that may belong to members, in place of the earlier ones. Immutable.
+   * The addresses that may belong to members changed. Immutable.
    *
-   * @param addresses from the settings and from the platform's list
+   * @param addresses all addresses from the settings and from the platform's list
    */
   record SeedsChanged(List<Address> addresses) implements MembershipEvent {
     /** Copies the list. */
@@ -34,9 +34,9 @@
    */
   record GenerationRaised(long generation) implements MembershipEvent {}
 
-  /** The application has news that travels with the messages of the next gossip rounds. */
+  /** The application has data to send with the messages of the next gossip rounds. */
   record GossipRequested() implements MembershipEvent {}
 
-  /** This member takes no more new work. */
+  /** This member accepts no new requests from now on. */
   record LeaveRequested() implements MembershipEvent {}
 }
--- a/membership/src/main/java/org/agatefield/membership/MembershipSettings.java
+++ b/membership/src/main/java/org/agatefield/membership/MembershipSettings.java
@@ -1,28 +1,29 @@
 package org.agatefield.membership;
 
 /**
- * Bounds and intervals of a member. Immutable.
+ * Limits and intervals of a member. Immutable.
  *
- * @param tickMilliseconds how often the member gets a tick
- * @param probeIntervalMilliseconds one member is probed in each such interval
- * @param probeTimeoutMilliseconds how long a directPeers probe may take before relays are asked
- * @param indirectProbes relays that are asked
- * @param maximumRelays indirect probes that are relayed at once for others
+ * @param tickMilliseconds interval of the member's ticks
+ * @param probeIntervalMilliseconds interval in which one member is probed
+ * @param probeTimeoutMilliseconds time after which an unanswered direct probe is sent via relays
+ * @param indirectProbes number of relays for such a probe
+ * @param maximumRelays maximum number of probes that are relayed for others at the same time
  * @param suspicionMultiplier a suspicion lasts this many probe intervals times the decimal
- *     logarithm of the number of members, at least once; 0 declares death without suspicion
- * @param gossipIntervalMilliseconds how often news is sent while there is any
- * @param gossipFanout members that news is sent to in each such interval
- * @param transmitMultiplier each piece of news is sent this many times the binary logarithm of the
- *     number of members
- * @param updatesPerMessage statements about members in a message, but for exchanges
- * @param updatesPerPage statements about members in a page of an exchange
- * @param exchangeIntervalMilliseconds how often whole tables are compared with one other member
- * @param deadContactIntervalMilliseconds how often one dead member is tried again
- * @param deadRetentionMilliseconds how long the dead are remembered
- * @param maximumDead the most dead that are remembered; the oldest are forgotten first
- * @param pauseMilliseconds a longer gap between events means that this process stood still
- * @param maximumHealthScore intervals are stretched by up to this many times, 0 never
- * @param remoteShare the share of probes and gossip that goes to other regions, from 0 to 1
+ *     logarithm of the number of members, which counts as at least 1; 0 declares members dead
+ *     without suspicion
+ * @param gossipIntervalMilliseconds interval at which queued updates are sent
+ * @param gossipFanout number of members that get them in each interval
+ * @param transmitMultiplier each update is sent this many times the binary logarithm of the number
+ *     of members
+ * @param updatesPerMessage maximum number of updates in a message, exchanges excepted
+ * @param updatesPerPage number of updates in a page of an exchange
+ * @param exchangeIntervalMilliseconds interval of full table exchanges with one other member
+ * @param deadContactIntervalMilliseconds interval at which one dead member is contacted again
+ * @param deadRetentionMilliseconds how long dead members are remembered
+ * @param maximumDead maximum number of remembered dead members; the oldest are removed first
+ * @param pauseMilliseconds a longer gap between events means that this process was paused
+ * @param maximumHealthScore intervals are lengthened by up to this many times; 0 disables that
+ * @param remoteShare share of probes and gossip that goes to other regions, from 0 to 1
  */
 public record MembershipSettings(
     long tickMilliseconds,
@@ -44,7 +45,7 @@
     int maximumHealthScore,
     double remoteShare) {
 
-  /** Returns settings for a fleet of up to some hundreds of members in a few regions. */
+  /** Returns settings for a fleet of up to a few hundred members in a few regions. */
   public static MembershipSettings defaults() {
     return new MembershipSettings(
         100,
@@ -68,11 +69,11 @@
   }
 
   /**
-   * Returns these settings with other bounds for finding the dead.
+   * Returns these settings with other limits for failure detection.
    *
    * @param probeInterval milliseconds between probes
-   * @param probeTimeout milliseconds that a directPeers probe may take
-   * @param suspicion probe intervals that a suspicion lasts, at ten members or fewer
+   * @param probeTimeout milliseconds after which a direct probe is sent via relays
+   * @param suspicion probe intervals that a suspicion lasts among ten members or fewer
    */
   public MembershipSettings withProbes(long probeInterval, long probeTimeout, int suspicion) {
     return new MembershipSettings(
@@ -97,11 +98,11 @@
   }
 
   /**
-   * Returns these settings with other bounds for spreading news.
+   * Returns these settings with other limits for gossip.
    *
-   * @param updates statements about members in a message, but for exchanges
-   * @param multiplier each piece of news is sent this many times the binary logarithm of the number
-   *     of members
+   * @param updates maximum number of updates in a message, exchanges excepted
+   * @param multiplier each update is sent this many times the binary logarithm of the number of
+   *     members
    */
   public MembershipSettings withGossip(int updates, int multiplier) {
     return new MembershipSettings(
@@ -125,13 +126,13 @@
         remoteShare);
   }
 
-  /** Returns how long a suspicion lasts among {@code members}. */
+  /** Returns the duration of a suspicion in a group of {@code members}. */
   long suspicionMilliseconds(int members) {
     double scale = Math.max(1.0, Math.log10(Math.max(1, members)));
     return Math.round(suspicionMultiplier * scale * probeIntervalMilliseconds);
   }
 
-  /** Returns how often one piece of news is sent among {@code members}. */
+  /** Returns how often one update is sent in a group of {@code members}. */
   public int transmissions(int members) {
     int bits = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, members));
     return transmitMultiplier * bits;
--- a/membership/src/main/java/org/agatefield/membership/OpenProbes.java
+++ b/membership/src/main/java/org/agatefield/membership/OpenProbes.java
@@ -8,27 +8,27 @@
 import org.agatefield.model.Address;
 
 /**
- * The probe of this interval and the probes that this member relays for others.
+ * Tracks this member's own open probe and the probes that it relays for others.
  *
  * <p>Invariant: at most one own probe is open, and at most the given number of relayed ones. Not
- * safe for use by several threads.
+ * thread-safe.
  */
 final class OpenProbes {
-  private final Map<Long, Relay> relays = new HashMap<>();
+  private final Map<Long, RelayedProbe> relays = new HashMap<>();
   private long lastSequence;
-  private Own own;
+  private OwnProbe own;
 
   /** This member's own open probe. */
-  static final class Own {
+  static final class OwnProbe {
     private final long sequence;
     private final MemberUpdate target;
     private long relayDeadline;
     private long deadline;
-    private boolean relaysAsked;
+    private boolean indirect;
     private int relayAnswers;
     private int relayCount;
 
-    private Own(long sequence, MemberUpdate target, long relayDeadline, long deadline) {
+    private OwnProbe(long sequence, MemberUpdate target, long relayDeadline, long deadline) {
       this.sequence = sequence;
       this.target = target;
       this.relayDeadline = relayDeadline;
@@ -43,51 +43,51 @@
       return target;
     }
 
-    /** Returns whether relays were asked and some did not even say that they failed. */
-    boolean relaysMissing() {
+    /** Returns whether some relays sent neither an acknowledgement nor a failure. */
+    boolean hasSilentRelays() {
       return relayAnswers < relayCount;
     }
   }
 
   /**
-   * A probe made for another member. Immutable.
+   * A probe relayed for another member. Immutable.
    *
-   * @param requester where the acknowledgement goes
+   * @param requester the address to which the acknowledgement is sent
    * @param requestSequence the requester's sequence
-   * @param deadline when the requester is told that the target did not answer
+   * @param deadline time at which the requester is notified that the target did not respond
    */
-  record Relay(Address requester, long requestSequence, long deadline) {}
+  record RelayedProbe(Address requester, long requestSequence, long deadline) {}
 
-  Own open(MemberUpdate target, long relayDeadline, long deadline) {
+  OwnProbe open(MemberUpdate target, long relayDeadline, long deadline) {
     lastSequence++;
-    own = new Own(lastSequence, target, relayDeadline, deadline);
+    own = new OwnProbe(lastSequence, target, relayDeadline, deadline);
     return own;
   }
 
-  /** Returns the own probe if it is time to ask relays, once. */
-  Optional<Own> relaysDue(long now) {
-    if (own == null || own.relaysAsked || own.relayDeadline > now) {
+  /** Returns the own probe, once, when it is due to be sent via relays. */
+  Optional<OwnProbe> relaysDue(long now) {
+    if (own == null || own.indirect || own.relayDeadline > now) {
       return Optional.empty();
     }
-    own.relaysAsked = true;
+    own.indirect = true;
     return Optional.of(own);
   }
 
-  void relaysAsked(int count) {
+  void setRelayCount(int count) {
     own.relayCount = count;
   }
 
   /** Closes and returns the own probe if it has failed. */
-  Optional<Own> failed(long now) {
+  Optional<OwnProbe> failed(long now) {
     if (own == null || own.deadline > now) {
       return Optional.empty();
     }
-    Own failed = own;
+    OwnProbe failed = own;
     own = null;
     return Optional.of(failed);
   }
 
-  /** Closes the own probe if {@code sequence} is its sequence and it was reached. */
+  /** Closes the own probe if {@code sequence} is its sequence and the target was reached. */
   boolean acknowledged(long sequence, boolean reached) {
     if (own == null || own.sequence != sequence) {
       return false;
@@ -101,7 +101,7 @@
   }
 
   /** Opens a relayed probe and returns its sequence; empty if too many are open. */
-  Optional<Long> relay(Relay relay, int maximum) {
+  Optional<Long> relay(RelayedProbe relay, int maximum) {
     if (relays.size() >= maximum) {
       return Optional.empty();
     }
@@ -110,12 +110,12 @@
     return Optional.of(lastSequence);
   }
 
-  Optional<Relay> relayAcknowledged(long sequence) {
+  Optional<RelayedProbe> relayAcknowledged(long sequence) {
     return Optional.ofNullable(relays.remove(sequence));
   }
 
-  List<Relay> failedRelays(long now) {
-    List<Relay> failed = new ArrayList<>();
+  List<RelayedProbe> failedRelays(long now) {
+    List<RelayedProbe> failed = new ArrayList<>();
     relays
         .values()
         .removeIf(
@@ -129,7 +129,7 @@
     return failed;
   }
 
-  /** Drops everything that is open, after this process stood still. */
+  /** Drops all open probes after this process was paused. */
   void reset() {
     own = null;
     relays.clear();
--- a/membership/src/main/java/org/agatefield/membership/Prober.java
+++ b/membership/src/main/java/org/agatefield/membership/Prober.java
@@ -4,18 +4,16 @@
 import java.util.Optional;
 import org.agatefield.model.Address;
 
-/**
- * Probes other members, answers probes, and relays probes for others. Not safe for use by several
- * threads.
- */
+/** Probes other members, answers probes, and relays probes for others. Not thread-safe. */
 final class Prober {
   private final MembershipSettings settings;
   private final MemberTable table;
   private final LocalHealth health;
   private final TargetSelector targets;
-  private final OpenProbes probing = new OpenProbes();
+  private final OpenProbes openProbes = new OpenProbes();
 
-  Prober(MembershipSettings settings, MemberTable table, LocalHealth health, TargetSelector targets) {
+  Prober(
+      MembershipSettings settings, MemberTable table, LocalHealth health, TargetSelector targets) {
     this.settings = settings;
     this.table = table;
     this.health = health;
@@ -23,7 +21,7 @@
   }
 
   void reset() {
-    probing.reset();
+    openProbes.reset();
   }
 
   void start(long now, Membership.Outbox outbox) {
@@ -34,32 +32,32 @@
     long relayDeadline = now + health.scale(settings.probeTimeoutMilliseconds());
     long deadline =
         now + health.scale(settings.probeIntervalMilliseconds()) - settings.tickMilliseconds();
-    OpenProbes.Own own = probing.open(target.get(), relayDeadline, deadline);
+    OpenProbes.OwnProbe own = openProbes.open(target.get(), relayDeadline, deadline);
     outbox.sendTo(target.get(), new MembershipMessage.Probe(own.sequence(), target.get().id()));
   }
 
   void tick(long now, Membership.Outbox outbox) {
-    probing.relaysDue(now).ifPresent(own -> askRelays(own, outbox));
-    probing.failed(now).ifPresent(own -> fail(own, now, outbox));
-    for (OpenProbes.Relay relay : probing.failedRelays(now)) {
+    openProbes.relaysDue(now).ifPresent(own -> probeIndirectly(own, outbox));
+    openProbes.failed(now).ifPresent(own -> onProbeFailed(own, now, outbox));
+    for (OpenProbes.RelayedProbe relay : openProbes.failedRelays(now)) {
       MembershipMessage.Body body =
           new MembershipMessage.Acknowledgement(relay.requestSequence(), false);
       outbox.send(relay.requester(), body);
     }
   }
 
-  private void askRelays(OpenProbes.Own own, Membership.Outbox outbox) {
+  private void probeIndirectly(OpenProbes.OwnProbe own, Membership.Outbox outbox) {
     List<MemberUpdate> relays = targets.relays(table, own.target(), settings.indirectProbes());
     Address address = own.target().instance().peerAddress();
-    probing.relaysAsked(relays.size());
+    openProbes.setRelayCount(relays.size());
     for (MemberUpdate relay : relays) {
       outbox.sendTo(
           relay, new MembershipMessage.IndirectProbe(own.sequence(), own.target().id(), address));
     }
   }
 
-  private void fail(OpenProbes.Own own, long now, Membership.Outbox outbox) {
-    if (own.relaysMissing()) {
+  private void onProbeFailed(OpenProbes.OwnProbe own, long now, Membership.Outbox outbox) {
+    if (own.hasSilentRelays()) {
       health.worsen();
     }
     String id = own.target().id();
@@ -72,7 +70,7 @@
   void receive(MemberUpdate self, MembershipMessage message, long now, Membership.Outbox outbox) {
     MembershipMessage.Body body = message.body();
     if (body instanceof MembershipMessage.Probe probe && probe.target().equals(self.id())) {
-      MemberUpdate sender = believed(message.sender());
+      MemberUpdate sender = currentView(message.sender());
       outbox.sendTo(sender, new MembershipMessage.Acknowledgement(probe.sequence(), true));
     } else if (body instanceof MembershipMessage.IndirectProbe indirect) {
       relay(message.sender(), indirect, now, outbox);
@@ -86,12 +84,12 @@
       MembershipMessage.IndirectProbe indirect,
       long now,
       Membership.Outbox outbox) {
-    OpenProbes.Relay relay =
-        new OpenProbes.Relay(
+    OpenProbes.RelayedProbe relay =
+        new OpenProbes.RelayedProbe(
             requester.instance().peerAddress(),
             indirect.sequence(),
             now + settings.probeTimeoutMilliseconds());
-    Optional<Long> sequence = probing.relay(relay, settings.maximumRelays());
+    Optional<Long> sequence = openProbes.relay(relay, settings.maximumRelays());
     if (sequence.isPresent()) {
       outbox.send(
           indirect.address(), new MembershipMessage.Probe(sequence.get(), indirect.target()));
@@ -100,13 +98,13 @@
 
   private void acknowledge(
       MembershipMessage.Acknowledgement acknowledgement, Membership.Outbox outbox) {
-    if (probing.acknowledged(acknowledgement.sequence(), acknowledgement.reached())) {
+    if (openProbes.acknowledged(acknowledgement.sequence(), acknowledgement.reached())) {
       health.improve();
       return;
     }
-    Optional<OpenProbes.Relay> relay =
+    Optional<OpenProbes.RelayedProbe> relay =
         acknowledgement.reached()
-            ? probing.relayAcknowledged(acknowledgement.sequence())
+            ? openProbes.relayAcknowledged(acknowledgement.sequence())
             : Optional.empty();
     if (relay.isPresent()) {
       outbox.send(
@@ -115,7 +113,7 @@
     }
   }
 
-  private MemberUpdate believed(MemberUpdate sender) {
+  private MemberUpdate currentView(MemberUpdate sender) {
     return table.get(sender.id()).map(MemberTable.Entry::update).orElse(sender);
   }
 }
--- a/membership/src/main/java/org/agatefield/membership/Schedule.java
+++ b/membership/src/main/java/org/agatefield/membership/Schedule.java
@@ -3,12 +3,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * When the periodic work is due; the first time of each is random within its interval, so that
- * members that start together do not act together. Not safe for use by several threads.
+ * Schedules the periodic actions of a member. The first time of each is random within its interval,
+ * so that members that start together do not act at the same time. Not thread-safe.
  */
 final class Schedule {
-  private static final long LONELY_CONTACT_INTERVAL_MILLISECONDS = 1_000;
-  private static final long HASTENED_EXCHANGE_MILLISECONDS = 2_000;
+  private static final long ISOLATED_CONTACT_INTERVAL_MILLISECONDS = 1_000;
+  private static final long EARLY_EXCHANGE_MILLISECONDS = 2_000;
 
   private final MembershipSettings settings;
   private final UniformRandomProvider random;
@@ -20,9 +20,9 @@
   Schedule(MembershipSettings settings, UniformRandomProvider random, long now) {
     this.settings = settings;
     this.random = random;
-    nextProbe = now + within(settings.probeIntervalMilliseconds());
-    nextGossip = now + within(settings.gossipIntervalMilliseconds());
-    nextExchange = now + within(settings.exchangeIntervalMilliseconds());
+    nextProbe = now + randomBelow(settings.probeIntervalMilliseconds());
+    nextGossip = now + randomBelow(settings.gossipIntervalMilliseconds());
+    nextExchange = now + randomBelow(settings.exchangeIntervalMilliseconds());
     nextContact = now;
   }
 
@@ -50,27 +50,33 @@
     return true;
   }
 
-  /** Brings the next exchange forward, as the last one found unknown members. */
-  void hastenExchange(long now) {
-    nextExchange = Math.min(nextExchange, now + jittered(HASTENED_EXCHANGE_MILLISECONDS));
+  /** Brings the next exchange forward, because the last one found unknown members. */
+  void scheduleEarlyExchange(long now) {
+    nextExchange = Math.min(nextExchange, now + jittered(EARLY_EXCHANGE_MILLISECONDS));
   }
 
-  /** Returns whether a seed and a dead member are to be tried; oftener while nobody is known. */
-  boolean contactDue(long now, boolean lonely) {
+  /**
+   * Returns whether a seed and a dead member must be contacted now.
+   *
+   * @param isolated whether no other member is known; the interval is shorter then
+   */
+  boolean contactDue(long now, boolean isolated) {
     if (now < nextContact) {
       return false;
     }
     long interval =
-        lonely ? LONELY_CONTACT_INTERVAL_MILLISECONDS : settings.deadContactIntervalMilliseconds();
+        isolated
+            ? ISOLATED_CONTACT_INTERVAL_MILLISECONDS
+            : settings.deadContactIntervalMilliseconds();
     nextContact = now + jittered(interval);
     return true;
   }
 
-  private long within(long interval) {
+  private long randomBelow(long interval) {
     return random.nextLong(Math.max(1, interval));
   }
 
   private long jittered(long interval) {
-    return interval / 2 + within(interval);
+    return interval / 2 + randomBelow(interval);
   }
 }
--- a/membership/src/main/java/org/agatefield/membership/StateExchange.java
+++ b/membership/src/main/java/org/agatefield/membership/StateExchange.java
@@ -7,11 +7,10 @@
 import org.agatefield.model.Address;
 
 /**
- * Compares member tables with one other member, a page at a time; joins, finds members whose news
- * was lost, and brings regions together again.
+ * Exchanges member tables with one other member, one page at a time. This joins new members, finds
+ * members whose updates were lost, and merges regions after a network partition.
  *
- * <p>The receiver also answers with what contradicts the sender's page. Not safe for use by several
- * threads.
+ * <p>The receiver also answers with the entries that contradict the sender's page. Not thread-safe.
  */
 final class StateExchange {
   private static final String START = "";
@@ -26,14 +25,14 @@
     this.targets = targets;
   }
 
-  /** Begins an exchange with a random present member. */
+  /** Starts an exchange with a random present member. */
   void start(MemberUpdate self, Membership.Outbox outbox) {
     for (MemberUpdate target : targets.gossipTargets(table, 1)) {
       request(self, target.instance().peerAddress(), START, List.of(), outbox);
     }
   }
 
-  /** Begins an exchange with a seed address that is not that of a present member. */
+  /** Starts an exchange with a seed address that belongs to no present member. */
   void contactSeed(MemberUpdate self, List<Address> seeds, Membership.Outbox outbox) {
     Collection<Address> known = new ArrayList<>();
     known.add(self.instance().peerAddress());
@@ -44,7 +43,7 @@
     }
   }
 
-  /** Begins an exchange with a dead member, which refutes its death if it is there. */
+  /** Starts an exchange with a dead member, which refutes its death if it is alive. */
   void contactDead(MemberUpdate self, Membership.Outbox outbox) {
     for (MemberUpdate dead : targets.pick(table.dead(), 1)) {
       request(self, dead.instance().peerAddress(), START, List.of(dead), outbox);
@@ -87,7 +86,7 @@
         address, List.copyOf(updates.values()), new MembershipMessage.StateAnswer(next, more));
   }
 
-  void goOn(
+  void continueExchange(
       MemberUpdate self,
       MembershipMessage message,
       MembershipMessage.StateAnswer answer,
@@ -100,40 +99,40 @@
 
   private static String nextAfterId(
       MembershipMessage message, boolean requestLast, List<MemberUpdate> page, boolean last) {
-    String ofRequest =
+    String lastOfRequest =
         message.updates().isEmpty()
             ? START
             : message.updates().get(message.updates().size() - 1).id();
-    String ofPage = page.isEmpty() ? START : page.get(page.size() - 1).id();
+    String lastOfPage = page.isEmpty() ? START : page.get(page.size() - 1).id();
     if (requestLast) {
-      return ofPage;
+      return lastOfPage;
     }
     if (last) {
-      return ofRequest;
+      return lastOfRequest;
     }
-    return ofRequest.compareTo(ofPage) < 0 ? ofRequest : ofPage;
+    return lastOfRequest.compareTo(lastOfPage) < 0 ? lastOfRequest : lastOfPage;
   }
 
-  /** Returns what this member believes otherwise and more surely than the sender. */
+  /** Returns this member's entries that take precedence over those of the sender. */
   private List<MemberUpdate> contradictions(MembershipMessage message) {
     List<MemberUpdate> found = new ArrayList<>();
-    List<MemberUpdate> stated = new ArrayList<>(message.updates());
-    stated.add(message.sender());
-    for (MemberUpdate update : stated) {
+    List<MemberUpdate> received = new ArrayList<>(message.updates());
+    received.add(message.sender());
+    for (MemberUpdate update : received) {
       table
           .get(update.id())
           .map(MemberTable.Entry::update)
-          .filter(mine -> goesBefore(mine, update))
+          .filter(own -> takesPrecedence(own, update))
           .ifPresent(found::add);
     }
     return found;
   }
 
-  private static boolean goesBefore(MemberUpdate mine, MemberUpdate stated) {
-    if (mine.incarnation() != stated.incarnation()) {
-      return mine.incarnation() > stated.incarnation();
+  private static boolean takesPrecedence(MemberUpdate own, MemberUpdate received) {
+    if (own.incarnation() != received.incarnation()) {
+      return own.incarnation() > received.incarnation();
     }
-    return mine.liveness().compareTo(stated.liveness()) > 0;
+    return own.liveness().compareTo(received.liveness()) > 0;
   }
 
   private long tableHash(MemberUpdate self) {
--- a/membership/src/main/java/org/agatefield/membership/TargetSelector.java
+++ b/membership/src/main/java/org/agatefield/membership/TargetSelector.java
@@ -10,10 +10,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Chooses whom to probe and whom to send news to, mostly within the own region.
+ * Selects the members to probe and to gossip with, mostly within the own region.
  *
- * <p>Probes go through a shuffled list, so that every member is probed once in each round. Not safe
- * for use by several threads.
+ * <p>Probes follow a shuffled list, so that every member is probed once per round. Not thread-safe.
  */
 final class TargetSelector {
   private final Instance self;
@@ -54,7 +53,7 @@
     return Optional.empty();
   }
 
-  /** Returns up to {@code count} different members to send news to. */
+  /** Returns up to {@code count} different members to gossip with. */
   List<MemberUpdate> gossipTargets(MemberTable table, int count) {
     List<MemberUpdate> present = table.present();
     List<MemberUpdate> local = new ArrayList<>();
--- a/membership/src/main/java/org/agatefield/membership/package-info.java
+++ b/membership/src/main/java/org/agatefield/membership/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Group membership by probes and gossip, as a pure state machine.
+ * Group membership with probes and gossip, as a state machine without side effects.
  *
- * <p>{@link org.agatefield.membership.Membership} takes events and the time and returns actions; it
- * does no input or output, starts no thread and reads no clock.
+ * <p>{@link org.agatefield.membership.Membership} handles events with their time and returns
+ * actions; it does no I/O, starts no threads and reads no clock.
  */
 package org.agatefield.membership;
--- a/membership/src/test/java/org/agatefield/membership/DomainRelaysTest.java
+++ b/membership/src/test/java/org/agatefield/membership/DomainRelaysTest.java
@@ -33,20 +33,23 @@
   }
 
   private static void countDeliveries(
-      Instance sender, List<Instance> alive, List<Instance> answering, Map<String, Integer> got) {
+      Instance sender,
+      List<Instance> alive,
+      List<Instance> answering,
+      Map<String, Integer> deliveries) {
     DomainRelays relays = new DomainRelays(sender, alive, answering);
-    relays.neighbours().forEach(each -> got.merge(each.id(), 1, Integer::sum));
-    relays.directPeers().forEach(each -> got.merge(each.id(), 1, Integer::sum));
+    relays.neighbours().forEach(each -> deliveries.merge(each.id(), 1, Integer::sum));
+    relays.directPeers().forEach(each -> deliveries.merge(each.id(), 1, Integer::sum));
     for (Instance relay : relays.relays()) {
-      got.merge(relay.id(), 1, Integer::sum);
+      deliveries.merge(relay.id(), 1, Integer::sum);
       new DomainRelays(relay, alive, answering)
           .neighbours()
-          .forEach(each -> got.merge(each.id(), 1, Integer::sum));
+          .forEach(each -> deliveries.merge(each.id(), 1, Integer::sum));
     }
   }
 
   @Test
-  void smallFailureDomainsAreSpokenToDirectlyAndWatchTheStoreThemselves() {
+  void smallFailureDomainsHaveNoRelayAndWatchTheStoreThemselves() {
     List<Instance> all = new ArrayList<>(domain("a", 3));
     all.addAll(domain("b", 2));
     for (Instance self : all) {
@@ -58,24 +61,28 @@
   }
 
   @Test
-  void oneInstanceOfLargeFailureDomainSpeaksForIt() {
+  void largeFailureDomainHasOneRelay() {
     List<Instance> all = domain("a", 9);
-    assertEquals(1, all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
+    assertEquals(
+        1,
+        all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
   }
 
   @Test
-  void oneInstanceOfRegionWatchesTheStoreForAllItsLargeFailureDomains() {
+  void oneInstancePerRegionWatchesTheStoreForAllLargeFailureDomains() {
     List<Instance> all = new ArrayList<>(domain("a", 5));
     all.addAll(domain("b", 6));
     all.addAll(domain("c", 7));
     List<Instance> watching =
         all.stream().filter(self -> new DomainRelays(self, all, all).sources().isEmpty()).toList();
     assertEquals(List.of(all.get(0)), watching);
-    assertEquals(3, all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
+    assertEquals(
+        3,
+        all.stream().filter(self -> new DomainRelays(self, all, all).representsDomain()).count());
   }
 
   @Test
-  void relayWhoseRegionHasNoOtherRelayThatAnswersWatchesTheStoreItself() {
+  void onlyAnsweringRelayOfRegionWatchesTheStoreItself() {
     List<Instance> all = new ArrayList<>(domain("a", 5));
     all.addAll(domain("b", 6));
     List<Instance> answering = all.subList(5, 11);
@@ -84,7 +91,7 @@
   }
 
   @Test
-  void suspectedOrLeavingInstanceIsNoRelay() {
+  void suspectedOrLeavingInstanceIsNotSelectedAsRelay() {
     List<Instance> all = new ArrayList<>(domain("a", 6));
     all.set(1, instance("a", 2, InstanceState.LEAVING));
     List<Instance> answering = all.subList(1, 6);
@@ -94,7 +101,7 @@
   }
 
   @Property(tries = 300, seed = "41")
-  void everyOtherInstanceGetsBroadcastOnceAndSourcesNeverGoInCircles(@ForAll long seed) {
+  void everyOtherInstanceGetsBroadcastOnceAndSourcesHaveNoCycles(@ForAll long seed) {
     Random random = new Random(seed);
     List<Instance> alive = new ArrayList<>();
     int domains = 1 + random.nextInt(6);
@@ -110,16 +117,17 @@
     }
     List<Instance> answering = alive.stream().filter(each -> random.nextInt(5) > 0).toList();
     Instance sender = alive.get(random.nextInt(alive.size()));
-    Map<String, Integer> got = new HashMap<>();
-    countDeliveries(sender, alive, answering, got);
+    Map<String, Integer> deliveries = new HashMap<>();
+    countDeliveries(sender, alive, answering, deliveries);
     for (Instance each : alive) {
       int expected = each.equals(sender) ? 0 : 1;
-      assertEquals(expected, got.getOrDefault(each.id(), 0), each.id());
+      assertEquals(expected, deliveries.getOrDefault(each.id(), 0), each.id());
       DomainRelays relays = new DomainRelays(each, alive, answering);
       for (Instance source : relays.sources()) {
         assertTrue(source.id().compareTo(each.id()) < 0);
         assertEquals(each.failureDomain().region(), source.failureDomain().region());
-        assertEquals(relays.representsDomain(), !each.failureDomain().equals(source.failureDomain()));
+        assertEquals(
+            relays.representsDomain(), !each.failureDomain().equals(source.failureDomain()));
         if (relays.representsDomain()) {
           assertTrue(new DomainRelays(source, alive, answering).representsDomain());
         }
--- a/membership/src/test/java/org/agatefield/membership/MembershipMechanismTest.java
+++ b/membership/src/test/java/org/agatefield/membership/MembershipMechanismTest.java
@@ -6,15 +6,15 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Shows that what the properties hold is lost when the mechanism that carries it is off. */
+/** Tests that the properties of {@link MembershipTest} fail when a mechanism is switched off. */
 class MembershipMechanismTest {
   private static final long SEEDS = 20;
   private static final long LONG_MILLISECONDS = 1_000_000_000;
-  private static final long CUT_MILLISECONDS = 300_000;
+  private static final long PARTITION_MILLISECONDS = 300_000;
   private static final long PAUSE_MILLISECONDS = 600_000;
 
   @Test
-  void withoutSuspicionLossKillsMembers() {
+  void withoutSuspicionMessageLossCausesDeaths() {
     long deaths =
         LongStream.range(0, SEEDS)
             .map(seed -> MembershipTest.deathsUnderLoss(seed, withoutSuspicion()))
@@ -24,33 +24,35 @@
   }
 
   @Test
-  void withoutNoticingItsPauseMemberKillsOthers() {
+  void withoutPauseDetectionMemberDeclaresOthersDead() {
     long deaths =
         LongStream.range(0, SEEDS)
             .map(
                 seed ->
                     MembershipTest.deathsByPausedMember(
-                        seed, PAUSE_MILLISECONDS, withoutNoticingPauses()))
+                        seed, PAUSE_MILLISECONDS, withoutPauseDetection()))
             .sum();
-    System.out.println("deaths by a paused member that does not notice: " + deaths);
+    System.out.println("deaths declared by a paused member without pause detection: " + deaths);
     assertTrue(deaths > 0);
   }
 
   @Test
-  void withoutTryingTheDeadRegionsStayApart() {
-    assertFalse(MembershipTest.rejoinsAfterCut(1, CUT_MILLISECONDS, withoutTryingTheDead()));
+  void withoutContactingTheDeadRegionsStayPartitioned() {
+    assertFalse(
+        MembershipTest.rejoinsAfterPartition(
+            1, PARTITION_MILLISECONDS, withoutContactingTheDead()));
   }
 
   @Test
-  void withoutRememberingTheDeadTheyComeBack() {
+  void withoutRememberingTheDeadTheyReturn() {
     long runs =
         LongStream.range(0, SEEDS)
             .filter(
                 seed ->
-                    MembershipTest.deadComeBack(
+                    MembershipTest.deadMemberReturns(
                         seed, PAUSE_MILLISECONDS, withoutRememberingTheDead()))
             .count();
-    System.out.println("runs in which the dead come back: " + runs);
+    System.out.println("runs in which a dead member returns: " + runs);
     assertTrue(runs > 0);
   }
 
@@ -58,11 +60,11 @@
     return settings(0, 5_000, 1_500, 4_096);
   }
 
-  private static MembershipSettings withoutNoticingPauses() {
+  private static MembershipSettings withoutPauseDetection() {
     return settings(5, 5_000, LONG_MILLISECONDS, 4_096);
   }
 
-  private static MembershipSettings withoutTryingTheDead() {
+  private static MembershipSettings withoutContactingTheDead() {
     return settings(5, LONG_MILLISECONDS, 1_500, 4_096);
   }
 
--- a/membership/src/test/java/org/agatefield/membership/MembershipTest.java
+++ b/membership/src/test/java/org/agatefield/membership/MembershipTest.java
@@ -18,64 +18,64 @@
 class MembershipTest {
   private static final MembershipSettings SETTINGS = MembershipSettings.defaults();
   private static final long LIMIT_MILLISECONDS = 300_000;
-  private static final long SOON_MILLISECONDS = 5_000;
+  private static final long SPREAD_LIMIT_MILLISECONDS = 5_000;
 
   @Property(tries = 40, seed = "11")
   void allMembersFindEachOtherFromOneSeedAddress(
       @ForAll long seed, @ForAll @IntRange(min = 2, max = 40) int members) {
     SimulatedGroup group = new SimulatedGroup(seed, SETTINGS);
-    unreliable(group);
+    makeUnreliable(group);
     group.startMany(members, "north", "south");
     assertTrue(group.runUntil(group::hasConverged, LIMIT_MILLISECONDS));
   }
 
   @Property(tries = 40, seed = "12")
-  void lossDelayAndDuplicationAloneNeverKillAnyoneForGood(@ForAll long seed) {
+  void lossDelayAndDuplicationNeverCausePermanentDeaths(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 16, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     group.run(120_000);
-    reliable(group);
+    makeReliable(group);
     assertTrue(group.runUntil(group::hasConverged, LIMIT_MILLISECONDS));
   }
 
   @Property(tries = 100, seed = "21")
-  void lossDelayAndDuplicationAloneKillNobody(@ForAll long seed) {
+  void lossDelayAndDuplicationCauseNoDeaths(@ForAll long seed) {
     assertEquals(0, deathsUnderLoss(seed, SETTINGS));
   }
 
   @Property(tries = 40, seed = "13")
   void crashedMemberIsDeadEverywhereAndStaysDead(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 16, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     Node crashed = group.nodes.get("m005");
     crashed.crashed = true;
-    assertTrue(group.runUntil(() -> nobodyPresents(group, "m005"), LIMIT_MILLISECONDS));
+    assertTrue(group.runUntil(() -> isPresentNowhere(group, "m005"), LIMIT_MILLISECONDS));
     Node late = group.start("late", "south", group.nodes.get("m000").address);
     for (int step = 0; step < 600; step++) {
       group.run(100);
-      assertTrue(nobodyPresents(group, "m005"));
+      assertTrue(isPresentNowhere(group, "m005"));
     }
     assertTrue(late.presentIds().contains("m000"));
   }
 
   @Property(tries = 40, seed = "22")
-  void memberThatMissedDeathDoesNotBringTheDeadBack(
+  void memberThatMissedDeathDoesNotReviveTheDead(
       @ForAll long seed, @ForAll @LongRange(min = 60_000, max = 3_600_000) long pause) {
-    assertFalse(deadComeBack(seed, pause, SETTINGS));
+    assertFalse(deadMemberReturns(seed, pause, SETTINGS));
   }
 
   @Property(tries = 40, seed = "14")
-  void pausedMemberKillsNobodyWhenItGoesOn(
+  void pausedMemberDeclaresNobodyDeadWhenItResumes(
       @ForAll long seed, @ForAll @LongRange(min = 2_000, max = 3_600_000) long pause) {
     assertEquals(0, deathsByPausedMember(seed, pause, SETTINGS));
   }
 
   @Property(tries = 25, seed = "15")
-  void regionThatIsCutOffKeepsItsOwnMembersAndRejoins(
-      @ForAll long seed, @ForAll @LongRange(min = 1_000, max = 1_800_000) long cut) {
+  void partitionedRegionKeepsItsOwnMembersAndRejoins(
+      @ForAll long seed, @ForAll @LongRange(min = 1_000, max = 1_800_000) long partition) {
     SimulatedGroup group = joined(seed, 18, "north", "north", "south");
-    group.cut("north", "south");
-    group.run(cut);
+    group.partition("north", "south");
+    group.run(partition);
     for (Node node : group.running()) {
       for (Node other : group.running()) {
         boolean expected = node != other && node.region.equals(other.region);
@@ -87,9 +87,9 @@
   }
 
   @Property(tries = 25, seed = "16")
-  void rejoiningKillsNobodyWithinTheOwnRegion(@ForAll long seed) {
+  void rejoiningCausesNoDeathsWithinTheOwnRegion(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 18, "north", "north", "south");
-    group.cut("north", "south");
+    group.partition("north", "south");
     group.run(300_000);
     group.heal();
     assertTrue(group.runUntil(group::hasConverged, LIMIT_MILLISECONDS));
@@ -102,28 +102,28 @@
   }
 
   @Property(tries = 40, seed = "17")
-  void leavingMemberIsKnownAsLeavingSoonAndNeverAsLiveAgain(@ForAll long seed) {
+  void leavingMemberIsSoonKnownAsLeavingAndNeverAsLiveAgain(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 24, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     Node leaving = group.nodes.get("m007");
     group.leave(leaving);
-    Set<Node> heard = new HashSet<>();
+    Set<Node> informed = new HashSet<>();
     for (int step = 0; step < 1_200; step++) {
       group.run(100);
       for (Node node : group.running()) {
         boolean leavingThere =
             node.membership.find("m007").orElseThrow().instance().state() == InstanceState.LEAVING;
-        assertTrue(leavingThere || !heard.contains(node));
+        assertTrue(leavingThere || !informed.contains(node));
         if (leavingThere) {
-          heard.add(node);
+          informed.add(node);
         }
       }
     }
-    assertEquals(24, heard.size());
+    assertEquals(24, informed.size());
   }
 
   @Property(tries = 20, seed = "18")
-  void higherGenerationIsHeardEverywhereWithinSeconds(
+  void higherGenerationReachesAllMembersWithinSeconds(
       @ForAll long seed, @ForAll @IntRange(min = 2, max = 128) int members) {
     SimulatedGroup group = joined(seed, members, "north", "south", "east");
     group.raise(group.nodes.get("m001"), 5);
@@ -131,12 +131,12 @@
         group.runUntil(
             () ->
                 group.running().stream()
-                    .allMatch(node -> node.generationHeard == 5 || node.id().equals("m001")),
-            SOON_MILLISECONDS));
+                    .allMatch(node -> node.observedGeneration == 5 || node.id().equals("m001")),
+            SPREAD_LIMIT_MILLISECONDS));
   }
 
   @Property(tries = 2, seed = "19")
-  void messagesStartedInAnIntervalDoNotGrowWithTheGroup(@ForAll long seed) {
+  void messagesStartedPerIntervalDoNotDependOnGroupSize(@ForAll long seed) {
     for (int members : List.of(8, 64, 160)) {
       SimulatedGroup group = joined(seed, members, "north", "south", "east");
       group.run(60_000);
@@ -152,7 +152,7 @@
   }
 
   @Property(tries = 10, seed = "20")
-  void restartOfEveryMemberAtOnceConvergesWithoutBurst(@ForAll long seed) {
+  void simultaneousRestartOfAllMembersConvergesWithoutBurst(@ForAll long seed) {
     SimulatedGroup group = joined(seed, 48, "north", "south", "east");
     List<Node> old = new ArrayList<>(group.running());
     old.forEach(node -> node.crashed = true);
@@ -171,7 +171,7 @@
 
   static long deathsUnderLoss(long seed, MembershipSettings settings) {
     SimulatedGroup group = joined(seed, settings, 16, "north", "south");
-    unreliable(group);
+    makeUnreliable(group);
     group.run(120_000);
     return group.running().stream().mapToLong(node -> node.deathsSeen.size()).sum();
   }
@@ -192,8 +192,10 @@
     return deathsOfOthers(group, paused) - deathsBefore;
   }
 
-  /** Says whether anyone but a member that slept through a death took the dead for alive again. */
-  static boolean deadComeBack(long seed, long pause, MembershipSettings settings) {
+  /**
+   * Returns whether a member other than the one paused during the death revived the dead member.
+   */
+  static boolean deadMemberReturns(long seed, long pause, MembershipSettings settings) {
     SimulatedGroup group = joined(seed, settings, 12, "north", "south");
     Node paused = group.nodes.get("m003");
     group.pause(paused);
@@ -202,20 +204,20 @@
     group.resume(paused);
     for (int step = 0; step < 600; step++) {
       group.run(100);
-      boolean back =
+      boolean returned =
           group.running().stream()
               .anyMatch(node -> node != paused && node.presentIds().contains("m005"));
-      if (back) {
+      if (returned) {
         return true;
       }
     }
     return false;
   }
 
-  static boolean rejoinsAfterCut(long seed, long cut, MembershipSettings settings) {
+  static boolean rejoinsAfterPartition(long seed, long partition, MembershipSettings settings) {
     SimulatedGroup group = joined(seed, settings, 18, "north", "north", "south");
-    group.cut("north", "south");
-    group.run(cut);
+    group.partition("north", "south");
+    group.run(partition);
     group.heal();
     return group.runUntil(group::hasConverged, LIMIT_MILLISECONDS);
   }
@@ -232,19 +234,19 @@
     return group;
   }
 
-  private static void unreliable(SimulatedGroup group) {
+  private static void makeUnreliable(SimulatedGroup group) {
     group.lossShare = 0.1;
     group.duplicateShare = 0.1;
     group.maximumDelay = 200;
   }
 
-  private static void reliable(SimulatedGroup group) {
+  private static void makeReliable(SimulatedGroup group) {
     group.lossShare = 0;
     group.duplicateShare = 0;
     group.maximumDelay = 5;
   }
 
-  private static boolean nobodyPresents(SimulatedGroup group, String id) {
+  private static boolean isPresentNowhere(SimulatedGroup group, String id) {
     return group.running().stream().noneMatch(node -> node.presentIds().contains(id));
   }
 
@@ -252,7 +254,7 @@
     return node.membership.find(id).orElseThrow().liveness() == Liveness.SUSPECT;
   }
 
-  /** Counts, over all members, the deaths that they saw of members other than {@code except}. */
+  /** Counts the deaths, seen by all members, of members other than {@code except}. */
   private static long deathsOfOthers(SimulatedGroup group, Node except) {
     return group.running().stream()
         .flatMap(node -> node.deathsSeen.stream())
--- a/membership/src/test/java/org/agatefield/membership/SimulatedGroup.java
+++ b/membership/src/test/java/org/agatefield/membership/SimulatedGroup.java
@@ -18,8 +18,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Members on an in-memory network that loses, delays, duplicates and reorders messages, with cuts
- * between regions, pauses and crashes; all from one seed.
+ * Simulates members on a network that loses, delays, duplicates and reorders messages, with
+ * partitions between regions, pauses and crashes; the same seed gives the same run.
  */
 final class SimulatedGroup {
   private static final int FIRST_PORT = 1_000;
@@ -30,7 +30,7 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.<Event>comparingLong(Event::time).thenComparing(Event::order));
   private final MembershipSettings settings;
-  private final Set<Set<String>> cuts = new HashSet<>();
+  private final Set<Set<String>> partitions = new HashSet<>();
   private int nextPort = FIRST_PORT;
   private long order;
   long now;
@@ -41,7 +41,7 @@
 
   private record Event(long time, long order, Node node, MembershipEvent event) {}
 
-  /** One member and what it saw. */
+  /** One member with its observations. */
   static final class Node {
     final Membership membership;
     final Address address;
@@ -54,7 +54,7 @@
     long sentToOtherRegions;
     long received;
     final List<String> deathsSeen = new ArrayList<>();
-    long generationHeard;
+    long observedGeneration;
 
     private Node(Membership membership, Address address, String region) {
       this.membership = membership;
@@ -91,7 +91,7 @@
     return node;
   }
 
-  /** Starts {@code count} members, spread in turn over {@code regions}, all with one seed. */
+  /** Starts {@code count} members, in {@code regions} by turns, all with the same seed address. */
   void startMany(int count, String... regions) {
     Address seed = new Address("10.0.0.1", nextPort);
     for (int each = 0; each < count; each++) {
@@ -99,19 +99,21 @@
     }
   }
 
-  void cut(String region, String other) {
-    cuts.add(Set.of(region, other));
+  void partition(String region, String other) {
+    partitions.add(Set.of(region, other));
   }
 
   void heal() {
-    cuts.clear();
+    partitions.clear();
   }
 
   void pause(Node node) {
     node.paused = true;
   }
 
-  /** Lets a paused member go on; what came meanwhile is delivered at once, behind its next tick. */
+  /**
+   * Resumes a paused member; messages received meanwhile are delivered right after its next tick.
+   */
   void resume(Node node) {
     node.paused = false;
     deliver(node, new MembershipEvent.Tick());
@@ -158,7 +160,7 @@
     return nodes.values().stream().filter(node -> !node.crashed).toList();
   }
 
-  /** Returns whether every running member knows just the other running ones. */
+  /** Returns whether every running member knows exactly the other running ones. */
   boolean hasConverged() {
     List<Node> running = running();
     Set<String> ids = new HashSet<>();
@@ -202,14 +204,14 @@
       largestMessage = Math.max(largestMessage, send.message().updates().size());
       transmit(node, send);
     } else if (action instanceof MembershipAction.MemberChanged changed) {
-      note(node, changed.update());
-    } else if (action instanceof MembershipAction.GenerationObserved heard) {
-      node.generationHeard = Math.max(node.generationHeard, heard.generation());
-      schedule(now + 1, node, new MembershipEvent.GenerationRaised(heard.generation()));
+      recordDeath(node, changed.update());
+    } else if (action instanceof MembershipAction.GenerationObserved observed) {
+      node.observedGeneration = Math.max(node.observedGeneration, observed.generation());
+      schedule(now + 1, node, new MembershipEvent.GenerationRaised(observed.generation()));
     }
   }
 
-  private static void note(Node node, MemberUpdate update) {
+  private static void recordDeath(Node node, MemberUpdate update) {
     if (update.liveness() == Liveness.DEAD) {
       node.deathsSeen.add(update.id());
       node.everDead.add(update.id());
@@ -225,8 +227,8 @@
     if (remote) {
       from.sentToOtherRegions++;
     }
-    boolean cut = remote && cuts.contains(Set.of(from.region, to.region));
-    if (cut || random.nextDouble() < lossShare) {
+    boolean partitioned = remote && partitions.contains(Set.of(from.region, to.region));
+    if (partitioned || random.nextDouble() < lossShare) {
       return;
     }
     int copies = random.nextDouble() < duplicateShare ? 2 : 1;
--- a/model/src/main/java/org/agatefield/model/Adapter.java
+++ b/model/src/main/java/org/agatefield/model/Adapter.java
@@ -1,7 +1,7 @@
 package org.agatefield.model;
 
 /**
- * A small addition to a deployment, loaded on demand beside it. Immutable.
+ * An adapter of a deployment, loaded on demand in addition to the base model. Immutable.
  *
  * @param name the name that callers send as {@code model}; unique among deployments and adapters
  * @param deployment the deployment that it extends
--- a/model/src/main/java/org/agatefield/model/Address.java
+++ b/model/src/main/java/org/agatefield/model/Address.java
@@ -3,20 +3,20 @@
 /**
  * A TCP address. Immutable.
  *
- * @param host an IP number, never a name
+ * @param host an IP address, never a host name
  * @param port from 1 to 65535
  */
 public record Address(String host, int port) {
   private static final int MAXIMUM_PORT = 65_535;
 
-  /** Checks the port. */
+  /** Validates the port. */
   public Address {
     if (port < 1 || port > MAXIMUM_PORT) {
       throw new IllegalArgumentException("port: " + port + " is not between 1 and 65535");
     }
   }
 
-  /** Returns the address written as {@code host:port}. */
+  /** Parses an address of the form {@code host:port}. */
   public static Address parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon < 1) {
--- a/model/src/main/java/org/agatefield/model/AgatefieldException.java
+++ b/model/src/main/java/org/agatefield/model/AgatefieldException.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A failure of one of the closed {@linkplain ErrorKind kinds}; futures complete exceptionally with
- * it. Immutable.
+ * A failure of one of the {@linkplain ErrorKind error kinds}; also completes futures exceptionally.
+ * Immutable.
  */
 public class AgatefieldException extends RuntimeException {
   private static final long serialVersionUID = 1L;
@@ -15,12 +15,12 @@
   private final RunState runState;
   private final transient Duration retryAfter;
 
-  /** Creates a failure with the kind's own run state and no time to come back. */
+  /** Creates a failure with the default run state of its kind and no retry time. */
   public AgatefieldException(ErrorKind kind, String message) {
     this(kind, kind.runState(), message, null, null);
   }
 
-  /** Creates a failure that tells the caller when to come back. */
+  /** Creates a failure that tells the caller when to retry. */
   public AgatefieldException(ErrorKind kind, String message, Duration retryAfter) {
     this(kind, kind.runState(), message, retryAfter, null);
   }
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Creates a failure with a run state that is better known than the kind's own.
+   * Creates a failure with a more precise run state than the default of its kind.
    *
-   * @param retryAfter when to come back, or null if the answer gives no time
+   * @param retryAfter time after which to retry, or null if unknown
    * @param cause the underlying failure, or null
    */
   public AgatefieldException(
@@ -44,7 +44,7 @@
     this.retryAfter = retryAfter;
   }
 
-  /** Returns the kind of failure. */
+  /** Returns the kind of this failure. */
   public ErrorKind kind() {
     return kind;
   }
@@ -54,12 +54,12 @@
     return runState;
   }
 
-  /** Returns when the caller may come back, if that is known. */
+  /** Returns the time after which the caller may retry, if known. */
   public Optional<Duration> retryAfter() {
     return Optional.ofNullable(retryAfter);
   }
 
-  /** Returns the failure inside {@code throwable}, or an internal one that wraps it. */
+  /** Returns the failure wrapped by {@code throwable}, or an internal failure that wraps it. */
   public static AgatefieldException from(Throwable throwable) {
     Throwable unwrapped = throwable;
     while (unwrapped instanceof CompletionException && unwrapped.getCause() != null) {
--- a/model/src/main/java/org/agatefield/model/Closer.java
+++ b/model/src/main/java/org/agatefield/model/Closer.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * Gathers resources and closes them in the reverse order of their registration.
+ * Closes registered resources in reverse order of their registration.
  *
- * <p>Invariant: each registered resource is closed exactly once; one registered after {@link
- * #close()} is closed at once. Safe for use by several threads.
+ * <p>Invariant: each registered resource is closed exactly once; a resource registered after {@link
+ * #close()} is closed immediately. Thread-safe.
  */
 public final class Closer implements AutoCloseable {
   private final Deque<AutoCloseable> resources = new ArrayDeque<>();
@@ -31,9 +31,10 @@
   }
 
   /**
-   * Closes every resource, also when some fail.
+   * Closes every resource, even if some fail to close.
    *
-   * @throws IllegalStateException if a resource failed to close; later ones are suppressed in it
+   * @throws IllegalStateException if a resource failed to close; further failures are suppressed
+   *     exceptions of it
    */
   @Override
   public void close() {
--- a/model/src/main/java/org/agatefield/model/ConfigurationDocument.java
+++ b/model/src/main/java/org/agatefield/model/ConfigurationDocument.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * The intended configuration, whole. Immutable.
+ * The complete desired configuration. Immutable.
  *
- * <p>Invariant: an accepted document has a generation one above the document that it replaced, and
- * no instance ever adopts a lower generation than it has.
+ * <p>Invariant: the generation of an accepted document is one above that of the document that it
+ * replaced, and no instance adopts a generation lower than its own.
  *
- * @param generation 0 before any document was accepted, then rising by 1
+ * @param generation 0 before the first accepted document, then incremented by 1
  * @param deployments the models
- * @param adapters additions to the models
- * @param callers who may send requests
+ * @param adapters the adapters of the models
+ * @param callers the clients that may send requests
  * @param services plain services
- * @param upstreams back ends
- * @param weightStore what the weight store allows
+ * @param upstreams the back ends
+ * @param weightStore the limits of the weight store
  */
 public record ConfigurationDocument(
     long generation,
@@ -35,7 +35,7 @@
     upstreams = List.copyOf(upstreams);
   }
 
-  /** Returns the document that is in force before any was accepted. */
+  /** Returns the document that is active before any was accepted. */
   public static ConfigurationDocument empty() {
     return new ConfigurationDocument(
         0, List.of(), List.of(), List.of(), List.of(), List.of(), new WeightStoreLimits(1, 1, 1));
--- a/model/src/main/java/org/agatefield/model/DemandSample.java
+++ b/model/src/main/java/org/agatefield/model/DemandSample.java
@@ -1,14 +1,13 @@
 package org.agatefield.model;
 
 /**
- * The recent demand for a deployment from one region. Immutable; samples of several instances are
- * added up.
+ * The recent demand for a deployment from one region, of one or several instances. Immutable.
  *
  * @param deployment the deployment
  * @param region the region of the entry instances that measured it
- * @param requestsPerSecond requests that were sent to an upstream each second, retries not counted
- * @param refusedPerSecond requests refused each second for want of capacity, retries not counted
- * @param busySecondsPerSecond runner seconds spent on it each second
+ * @param requestsPerSecond requests sent to upstreams per second, not counting retries
+ * @param refusedPerSecond requests refused per second for lack of capacity, not counting retries
+ * @param busySecondsPerSecond runner seconds used per second
  */
 public record DemandSample(
     String deployment,
--- a/model/src/main/java/org/agatefield/model/DeploymentVersion.java
+++ b/model/src/main/java/org/agatefield/model/DeploymentVersion.java
@@ -1,7 +1,7 @@
 package org.agatefield.model;
 
 /**
- * A version of a deployment as configured. Immutable.
+ * A configured version of a deployment. Immutable.
  *
  * @param name unique within the deployment
  * @param memoryMegabytes accelerator memory that the loaded version takes, above 0
--- a/model/src/main/java/org/agatefield/model/Instance.java
+++ b/model/src/main/java/org/agatefield/model/Instance.java
@@ -3,11 +3,11 @@
 /**
  * An entry instance. Immutable.
  *
- * @param id unique among all instances, and never used again by a later process
- * @param callerAddress where callers connect
- * @param peerAddress where other instances connect
- * @param failureDomain where the instance lies
- * @param state what the instance last said of itself
+ * @param id unique among all instances and never reused by a later process
+ * @param callerAddress the address for callers
+ * @param peerAddress the address for other instances
+ * @param failureDomain the failure domain that contains the instance
+ * @param state the state that the instance last reported
  */
 public record Instance(
     String id,
--- a/model/src/main/java/org/agatefield/model/InstanceState.java
+++ b/model/src/main/java/org/agatefield/model/InstanceState.java
@@ -1,9 +1,9 @@
 package org.agatefield.model;
 
-/** Whether an entry instance takes new work, as it says of itself. */
+/** Whether an entry instance accepts new requests, as reported by itself. */
 public enum InstanceState {
-  /** Takes new requests and is offered to callers. */
+  /** Accepts new requests and is announced to callers. */
   LIVE,
-  /** Finishes what it has and is no longer offered to callers. */
+  /** Finishes its running requests and is no longer announced to callers. */
   LEAVING
 }
--- a/model/src/main/java/org/agatefield/model/LoadReport.java
+++ b/model/src/main/java/org/agatefield/model/LoadReport.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a model engine says of itself; lags behind the truth. Immutable.
+ * The load that a model engine reports; it may be outdated. Immutable.
  *
- * @param bootIdentifier new at every start of the engine, which then holds nothing
- * @param memoryMegabytes accelerator memory that the engine has
- * @param usedMegabytes accelerator memory that is taken
+ * @param bootIdentifier changes at every start of the engine, after which nothing is loaded
+ * @param memoryMegabytes total accelerator memory of the engine
+ * @param usedMegabytes accelerator memory in use
  * @param runningRequests requests in the batch
  * @param waitingRequests requests in the engine's queue
  * @param versions engine names of the loaded versions
  * @param adapters names of the loaded adapters
- * @param highestFencingToken the highest token that the engine has seen; 0 if it checks none
+ * @param highestFencingToken the highest token that the engine has received; 0 if it does not check
+ *     tokens
  */
 public record LoadReport(
     String bootIdentifier,
--- a/model/src/main/java/org/agatefield/model/ModelDemand.java
+++ b/model/src/main/java/org/agatefield/model/ModelDemand.java
@@ -3,16 +3,17 @@
 import java.util.Map;
 
 /**
- * Demand for one model over the time since the report before. Immutable.
+ * Demand for one model since the previous report. Immutable.
  *
  * @param service the service that serves the model
  * @param model the model's name
  * @param arrivedTokens prompt tokens of the requests that arrived
  * @param arrivedRequests requests that arrived
- * @param waitingRequests requests that wait for a runner at the moment
- * @param runningRequests requests at runners at the moment
- * @param priority the most urgent priority among those that wait or arrived, 0 is first
- * @param runningAt the requests at runners, by the runner's identifier
+ * @param waitingRequests requests that are waiting for a runner
+ * @param runningRequests requests that are running at runners
+ * @param priority the most urgent priority of the requests that wait or arrived; 0 is the most
+ *     urgent
+ * @param runningAt the running requests by runner identifier
  */
 public record ModelDemand(
     String service,
--- a/model/src/main/java/org/agatefield/model/Priority.java
+++ b/model/src/main/java/org/agatefield/model/Priority.java
@@ -1,10 +1,10 @@
 package org.agatefield.model;
 
-/** The order in which waiting work is served and excess work is refused; later ones go first. */
+/** Priorities of requests, lowest first; excess requests of lower priority are refused first. */
 public enum Priority {
-  /** Work that may wait. */
+  /** Requests that may wait. */
   BATCH,
-  /** The default. */
+  /** The default priority. */
   STANDARD,
   /** A person is waiting. */
   INTERACTIVE
--- a/model/src/main/java/org/agatefield/model/Upstream.java
+++ b/model/src/main/java/org/agatefield/model/Upstream.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * A back end as configured. Immutable.
+ * A configured back end. Immutable.
  *
  * @param name unique among upstreams
- * @param kind what it runs
- * @param address where it listens
- * @param failureDomain where it lies
+ * @param kind the kind of runner
+ * @param address the address on which it listens
+ * @param failureDomain the failure domain that contains it
  * @param accelerators number of accelerators; 0 for a service runner
  * @param memoryMegabytes accelerator memory; 0 for a service runner
  * @param checksFencingTokens whether it refuses orders with an old fencing token
--- a/model/src/main/java/org/agatefield/model/UpstreamKind.java
+++ b/model/src/main/java/org/agatefield/model/UpstreamKind.java
@@ -1,9 +1,9 @@
 package org.agatefield.model;
 
-/** What an upstream runs. */
+/** Kinds of upstreams. */
 public enum UpstreamKind {
-  /** A model engine on accelerators. */
+  /** A runner of a model engine on accelerators. */
   MODEL_RUNNER,
-  /** One runner of a plain service. */
+  /** A runner of a plain service. */
   SERVICE_RUNNER
 }
--- a/model/src/main/java/org/agatefield/model/VersionId.java
+++ b/model/src/main/java/org/agatefield/model/VersionId.java
@@ -7,7 +7,7 @@
  * @param version the version's name, unique within the deployment
  */
 public record VersionId(String deployment, String version) {
-  /** Returns the name that engines know the version by, {@code deployment@version}. */
+  /** Returns the name of the version at engines, {@code deployment@version}. */
   public String engineName() {
     return deployment + "@" + version;
   }
--- a/model/src/main/java/org/agatefield/model/package-info.java
+++ b/model/src/main/java/org/agatefield/model/package-info.java
@@ -1,2 +1,2 @@
-/** Records and closed enumerations that every other package shares; depends on nothing. */
+/** Records and enums that all other packages share. Has no dependencies on them. */
 package org.agatefield.model;
--- a/model/src/test/java/org/agatefield/model/ErrorKindTest.java
+++ b/model/src/test/java/org/agatefield/model/ErrorKindTest.java
@@ -8,12 +8,12 @@
 
 class ErrorKindTest {
   @Property(seed = "1")
-  void everyKindAnswersWithAnErrorStatus(@ForAll ErrorKind kind) {
+  void everyKindHasAnErrorStatus(@ForAll ErrorKind kind) {
     assertTrue(kind.httpStatus() >= 400 && kind.httpStatus() <= 599);
   }
 
   @Property(seed = "1")
-  void onlyKindsThatWereNotRunAskForRepetitionWithoutIdempotency(@ForAll ErrorKind kind) {
+  void kindsThatWereExecutedNeverAdviseRetryWithoutIdempotency(@ForAll ErrorKind kind) {
     if (kind.retryAdvice() == RetryAdvice.AFTER_DELAY) {
       assertNotEquals(RunState.YES, kind.runState());
     }
--- a/peer/src/main/java/org/agatefield/peer/ForwardingCodec.java
+++ b/peer/src/main/java/org/agatefield/peer/ForwardingCodec.java
@@ -8,11 +8,11 @@
 import org.agatefield.peer.generated.PeerProtocol;
 import org.agatefield.peer.generated.PeerProtocol.Envelope;
 
-/** Translates the messages about forwarding and placement. Without state. */
+/** Converts forwarding and placement messages to and from protobuf. Stateless. */
 final class ForwardingCodec {
   private ForwardingCodec() {}
 
-  /** Puts a message into the envelope; returns false if it is of another family. */
+  /** Sets the message in the envelope; returns false if another codec handles its type. */
   static boolean encode(Envelope.Builder envelope, PeerMessage message) {
     if (message instanceof PeerMessage.PlannerNotice notice) {
       envelope.setPlannerNotice(
@@ -77,7 +77,7 @@
     return true;
   }
 
-  /** Returns the message; empty if it is of another family. */
+  /** Returns the message; empty if another codec handles its type. */
   static Optional<PeerMessage> decode(Envelope envelope) {
     return switch (envelope.getMessageCase()) {
       case PLANNER_NOTICE ->
--- a/peer/src/main/java/org/agatefield/peer/MembershipCodec.java
+++ b/peer/src/main/java/org/agatefield/peer/MembershipCodec.java
@@ -11,7 +11,7 @@
 import org.agatefield.peer.PeerMessage.MembershipOperation;
 import org.agatefield.peer.generated.PeerProtocol;
 
-/** Translates messages of the membership protocol. Without state. */
+/** Converts messages of the membership protocol to and from protobuf. Stateless. */
 final class MembershipCodec {
   private MembershipCodec() {}
 
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Returns the message; empty if this version of the protocol does not know its operation. */
+  /** Returns the message; empty if its operation is unknown to this version of the protocol. */
   static Optional<PeerMessage.Membership> decode(PeerProtocol.Membership message) {
     List<MemberStatement> updates =
         message.getUpdatesList().stream().map(MembershipCodec::decodeMember).toList();
--- a/peer/src/main/java/org/agatefield/peer/NettyPeerTransport.java
+++ b/peer/src/main/java/org/agatefield/peer/NettyPeerTransport.java
@@ -25,8 +25,9 @@
 /**
  * A peer transport over TCP.
  *
- * <p>A connection is opened when something is first sent to a peer and is used both ways; when two
- * peers open one at the same moment, both may live until one is idle. Safe for use by any thread.
+ * <p>A connection is opened when the first message is sent to a peer and carries messages in both
+ * directions. If two peers connect to each other at the same time, both connections may exist until
+ * one is closed as idle. Thread-safe.
  */
 public final class NettyPeerTransport implements PeerTransport {
   private final EventLoopGroup group;
@@ -38,15 +39,15 @@
       new ConcurrentHashMap<>();
   private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Channel server;
-  private volatile PeerHandler handler = new UnreadyHandler();
+  private volatile PeerHandler handler = new NotReadyHandler();
   private volatile boolean closed;
 
   /**
-   * Starts to listen.
+   * Creates a transport and starts to listen.
    *
    * @param group runs the connections; the owner shuts it down after {@link #close()}
-   * @param listener where to listen; the connection's other side learns this address
-   * @throws AgatefieldException if the address cannot be listened on
+   * @param listener the address to listen on, which is also announced to peers
+   * @throws AgatefieldException if the address cannot be bound
    */
   public NettyPeerTransport(
       EventLoopGroup group,
@@ -105,7 +106,7 @@
     handler = newHandler;
   }
 
-  /** Returns the counts of what was carried. */
+  /** Returns the counters of this transport. */
   public PeerTraffic traffic() {
     return traffic;
   }
@@ -120,14 +121,14 @@
   }
 
   private CompletableFuture<PeerConnection> connection(Address peer) {
-    CompletableFuture<PeerConnection> known = connections.get(peer);
-    if (known != null) {
-      return known;
+    CompletableFuture<PeerConnection> existing = connections.get(peer);
+    if (existing != null) {
+      return existing;
     }
     CompletableFuture<PeerConnection> created = new CompletableFuture<>();
-    known = connections.putIfAbsent(peer, created);
-    if (known != null) {
-      return known;
+    existing = connections.putIfAbsent(peer, created);
+    if (existing != null) {
+      return existing;
     }
     if (closed) {
       connections.remove(peer, created);
@@ -147,10 +148,10 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) settings.connectTimeout().toMillis())
         .handler(PeerPipeline.outgoing(this, settings, tls.map(PeerTls::client), peer))
         .connect(peer.host(), peer.port())
-        .addListener(future -> opened(peer, created, (ChannelFuture) future));
+        .addListener(future -> onConnected(peer, created, (ChannelFuture) future));
   }
 
-  private void opened(
+  private void onConnected(
       Address peer, CompletableFuture<PeerConnection> created, ChannelFuture future) {
     if (!future.isSuccess()) {
       connections.remove(peer, created);
@@ -179,13 +180,13 @@
         .build();
   }
 
-  /** Notes that a peer opened a connection, which is then used towards it too. */
-  void accepted(Address opener, PeerConnection connection) {
+  /** Registers a connection that a peer opened, to send messages to that peer as well. */
+  void onAccepted(Address opener, PeerConnection connection) {
     register(connection.channel());
     connections.putIfAbsent(opener, CompletableFuture.completedFuture(connection));
   }
 
-  void closed(PeerConnection connection) {
+  void onClosed(PeerConnection connection) {
     connections
         .values()
         .removeIf(
@@ -202,8 +203,8 @@
     channels.close().awaitUninterruptibly();
   }
 
-  /** Drops and refuses everything until a handler is set. */
-  private static final class UnreadyHandler implements PeerHandler {
+  /** Drops messages and refuses requests until a handler is set. */
+  private static final class NotReadyHandler implements PeerHandler {
     @Override
     public void received(PeerMessage message) {}
 
--- a/peer/src/main/java/org/agatefield/peer/PeerCodec.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerCodec.java
@@ -7,7 +7,7 @@
 import org.agatefield.peer.generated.PeerProtocol;
 import org.agatefield.peer.generated.PeerProtocol.Envelope;
 
-/** Translates between messages and their form on the wire. Without state. */
+/** Converts messages to and from their protobuf envelopes. Stateless. */
 final class PeerCodec {
   private PeerCodec() {}
 
@@ -30,7 +30,7 @@
       envelope.setDemandRequest(
           PeerProtocol.DemandRequest.newBuilder().setScope(encodeScope(request.scope())));
     } else if (!ForwardingCodec.encode(envelope, message)) {
-      throw new IllegalArgumentException("message " + message + " has no form on the wire");
+      throw new IllegalArgumentException("message " + message + " cannot be encoded");
     }
     return envelope.build();
   }
@@ -43,7 +43,7 @@
         .build();
   }
 
-  /** Returns the message; empty if this version of the protocol does not know its kind. */
+  /** Returns the message; empty if its type is unknown to this version of the protocol. */
   static Optional<PeerMessage> decode(Envelope envelope) {
     Optional<PeerMessage> message = decodeMessage(envelope);
     return envelope.getHandOn() ? message.map(PeerMessage.Relayed::new) : message;
--- a/peer/src/main/java/org/agatefield/peer/PeerConnection.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerConnection.java
@@ -21,10 +21,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One open connection: matches answers to requests and hands everything else to the handler.
+ * One open connection. Matches answers to requests and passes all other messages to the handler.
  *
- * <p>Invariant: every request's future completes, at the latest when the connection closes. Safe
- * for use by any thread; frames come in on the channel's event loop.
+ * <p>Invariant: the future of every request completes, at the latest when the connection closes.
+ * Thread-safe; frames are received on the channel's event loop.
  */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
   private static final Logger LOGGER = LogManager.getLogger(PeerConnection.class);
@@ -54,7 +54,7 @@
     write(PeerCodec.encode(0, false, message));
   }
 
-  /** Writes a frame unless too much waits to be written; says whether it did. */
+  /** Writes a frame, or drops it and returns false if the write buffer is full. */
   boolean write(Envelope envelope) {
     if (!channel.isWritable()) {
       transport.traffic().dropped();
@@ -73,21 +73,22 @@
     long number = lastRequest.incrementAndGet();
     openRequests.put(number, future);
     if (!write(PeerCodec.encode(number, false, message))) {
-      future.completeExceptionally(failure("too much waits to be written", null));
+      future.completeExceptionally(failure("the write buffer is full", null));
     }
     if (closed) {
       failOpenRequests();
     }
-    Future<?> limit =
+    Future<?> timeout =
         channel
             .eventLoop()
             .schedule(
-                () -> future.completeExceptionally(failure("no answer in time", null)),
+                () ->
+                    future.completeExceptionally(failure("timed out waiting for the answer", null)),
                 settings.requestTimeout().toMillis(),
                 TimeUnit.MILLISECONDS);
     future.whenComplete(
         (answer, failure) -> {
-          limit.cancel(false);
+          timeout.cancel(false);
           openRequests.remove(number);
         });
     return future;
@@ -97,11 +98,11 @@
   protected void channelRead0(ChannelHandlerContext context, Envelope envelope) {
     if (envelope.hasHello()) {
       Address opener = MembershipCodec.decodeAddress(envelope.getHello().getAddress());
-      transport.accepted(opener, this);
+      transport.onAccepted(opener, this);
       return;
     }
     if (envelope.getAnswer()) {
-      answered(envelope);
+      completeRequest(envelope);
       return;
     }
     Optional<PeerMessage> message = PeerCodec.decode(envelope);
@@ -113,10 +114,10 @@
       transport.handler().received(message.get());
       return;
     }
-    answer(envelope, message.get());
+    handleRequest(envelope, message.get());
   }
 
-  private void answer(Envelope envelope, PeerMessage message) {
+  private void handleRequest(Envelope envelope, PeerMessage message) {
     transport
         .handler()
         .requested(message)
@@ -136,7 +137,7 @@
     }
   }
 
-  private void answered(Envelope envelope) {
+  private void completeRequest(Envelope envelope) {
     CompletableFuture<PeerMessage> future = openRequests.remove(envelope.getRequestNumber());
     if (future == null) {
       return;
@@ -161,7 +162,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     closed = true;
-    transport.closed(this);
+    transport.onClosed(this);
     failOpenRequests();
   }
 
--- a/peer/src/main/java/org/agatefield/peer/PeerHandler.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerHandler.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Takes what other instances send. Called on the transport's threads; must not block. */
+/** Handles messages from other instances. Called on the transport's threads; must not block. */
 public interface PeerHandler {
-  /** A message came that expects no answer. */
+  /** Handles a message that expects no answer. */
   void received(PeerMessage message);
 
-  /** A request came; the future's message, or its failure, is sent back. */
+  /** Handles a request; the future's message, or its failure, is sent as the answer. */
   CompletableFuture<PeerMessage> requested(PeerMessage request);
 }
--- a/peer/src/main/java/org/agatefield/peer/PeerMessage.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerMessage.java
@@ -11,13 +11,13 @@
 /** A message between instances. */
 public sealed interface PeerMessage {
   /**
-   * One step of the membership protocol. Immutable.
+   * A message of the membership protocol. Immutable.
    *
-   * @param sender what the sender says of itself
+   * @param sender the sender's own entry
    * @param generation the highest configuration generation that the sender has
-   * @param updates statements about members
-   * @param leavingUpstreams upstreams that the sender knows to be leaving
-   * @param operation what the message is for
+   * @param updates updates about members
+   * @param leavingUpstreams upstreams that are leaving, as far as the sender knows
+   * @param operation the purpose of the message
    */
   record Membership(
       MemberStatement sender,
@@ -34,27 +34,27 @@
   }
 
   /**
-   * Asks for the configuration if it is newer. Immutable.
+   * Requests the configuration if it is newer. Immutable.
    *
    * @param generation the highest generation that the sender has
    */
   record ConfigurationRequest(long generation) implements PeerMessage {}
 
   /**
-   * Answers a configuration request. Immutable as long as nobody changes the array.
+   * Answers a configuration request. Immutable as long as the array is not changed.
    *
-   * @param generation the highest generation that the answerer has
-   * @param document the compressed document; empty if the asker has that generation
+   * @param generation the highest generation that the answering instance has
+   * @param document the compressed document; empty if the requester has that generation
    */
   record ConfigurationAnswer(long generation, Optional<byte[]> document) implements PeerMessage {}
 
   /**
-   * Carries demand up the tree. Immutable.
+   * Reports demand to the next level of the aggregation tree. Immutable.
    *
-   * @param instance who reports
-   * @param samples demand, added up over the instances that it covers
-   * @param ageMilliseconds the age of the oldest part
-   * @param instances number of instances that it covers
+   * @param instance the reporting instance
+   * @param samples demand, summed over the instances covered
+   * @param ageMilliseconds the age of the oldest sample included
+   * @param instances number of instances covered
    */
   record DemandReport(
       String instance, List<DemandSample> samples, long ageMilliseconds, int instances)
@@ -66,14 +66,14 @@
   }
 
   /**
-   * Asks for the demand of the asked instance's failure domain or region. Immutable.
+   * Requests the demand of the receiver's failure domain or region. Immutable.
    *
-   * @param scope how much to add up
+   * @param scope the instances to sum over
    */
   record DemandRequest(DemandScope scope) implements PeerMessage {}
 
   /**
-   * Tells where demand is to be sent. Immutable.
+   * Announces the planner, to which demand is to be sent. Immutable.
    *
    * @param instance the holder of the planner's lease
    * @param fencingToken the token of its grant
@@ -81,10 +81,10 @@
   record PlannerNotice(String instance, long fencingToken) implements PeerMessage {}
 
   /**
-   * Demand of one instance for models, for the planner. Immutable.
+   * Reports the model demand of one instance to the planner. Immutable.
    *
-   * @param instance who reports
-   * @param demands one for each model that was asked for
+   * @param instance the reporting instance
+   * @param demands one for each requested model
    */
   record ModelDemandReport(String instance, List<ModelDemand> demands) implements PeerMessage {
     /** Copies the list. */
@@ -94,28 +94,29 @@
   }
 
   /**
-   * Tells what the planner did at a runner, before the runner's entry does. Immutable.
+   * Announces a change that the planner makes at a runner before the runner's entry shows it.
+   * Immutable.
    *
    * @param runner the runner's identifier
    * @param model the model's name
-   * @param change what happens to it
-   * @param expectedMilliseconds how long until it is there, while it is being loaded
+   * @param change the change
+   * @param expectedMilliseconds expected remaining time of the load, while it is being loaded
    */
   record ModelNotice(String runner, String model, ModelChange change, long expectedMilliseconds)
       implements PeerMessage {}
 
-  /** What the planner does with a model at a runner. */
+  /** Changes that the planner makes to a model at a runner. */
   enum ModelChange {
-    /** The runner has it from now on. */
+    /** The runner has loaded it. */
     LOADED,
-    /** The runner is about to drop it. */
+    /** The runner is about to unload it. */
     DROPPING,
     /** The runner is loading it. */
     LOADING
   }
 
   /**
-   * Asks the planner to have an adapter loaded. Immutable.
+   * Requests that the planner have an adapter loaded. Immutable.
    *
    * @param runner the runner's identifier
    * @param model the model that the adapter belongs to
@@ -126,15 +127,15 @@
   /**
    * Answers an adapter request. Immutable.
    *
-   * @param present whether the runner has the adapter now
+   * @param present whether the adapter is now loaded at the runner
    */
   record AdapterAnswer(boolean present) implements PeerMessage {}
 
   /**
-   * What one instance has running at runners. Immutable.
+   * Reports the load that one instance places on runners. Immutable.
    *
-   * @param instance who reports
-   * @param loads one for each runner that has work from it
+   * @param instance the reporting instance
+   * @param loads one for each runner with requests of this instance
    */
   record RunnerLoadReport(String instance, List<RunnerShare> loads) implements PeerMessage {
     /** Copies the list. */
@@ -144,35 +145,35 @@
   }
 
   /**
-   * Work of one instance at one runner. Immutable.
+   * The load of one instance at one runner. Immutable.
    *
    * @param runner the runner's identifier
    * @param running requests that were sent and have not ended
-   * @param unreadPromptTokens prompt tokens of those without a first event
+   * @param unreadPromptTokens prompt tokens of the requests that have not returned a first event
    */
   record RunnerShare(String runner, int running, int unreadPromptTokens) {}
 
   /**
-   * A message that the receiver hands on to the other instances of its failure domain.
+   * A message that the receiver forwards to the other instances of its failure domain.
    *
-   * @param message expects no answer
+   * @param message a message that expects no answer
    */
   record Relayed(PeerMessage message) implements PeerMessage {}
 
   /**
-   * Asks an instance that watches the store for its objects of a kind.
+   * Requests the objects of a kind from an instance that watches the store.
    *
-   * @param fromVersion from the answer before; empty asks for all objects
-   * @param waitMilliseconds how long to wait for a change
+   * @param fromVersion the version of the previous answer; empty to request all objects
+   * @param waitMilliseconds maximum time to wait for a change
    */
   record ObjectsRequest(String kind, String fromVersion, int waitMilliseconds)
       implements PeerMessage {}
 
   /**
-   * Objects of a kind as another instance knows them.
+   * Answers an objects request with the objects or changes that the answering instance knows.
    *
-   * @param version to go on from
-   * @param whole whether these are all objects; otherwise they are the changes in their order
+   * @param version the version to continue from
+   * @param whole whether these are all objects; otherwise they are changes, in order
    */
   record ObjectsAnswer(String version, boolean whole, List<ObjectState> objects)
       implements PeerMessage {
@@ -183,7 +184,7 @@
   }
 
   /**
-   * One object, or that it was deleted. Immutable as long as nobody changes {@code content}.
+   * One object, possibly deleted. Immutable as long as {@code content} is not changed.
    *
    * @param resourceVersion the store's version of the object
    * @param content compressed JSON; empty if the object was deleted
@@ -191,34 +192,34 @@
   record ObjectState(String name, String resourceVersion, Optional<byte[]> content) {}
 
   /**
-   * Asks the holder of a client account's quota in a region for tokens. Immutable.
+   * Requests tokens from the holder of a client account's quota in a region. Immutable.
    *
-   * @param loan whether the asker is the holder of another region
+   * @param loan whether the requester is the quota holder of another region
    */
   record QuotaRequest(String account, double tokens, boolean loan) implements PeerMessage {}
 
   /**
    * Answers a quota request. Immutable.
    *
-   * @param grantedTokens all that were asked for or none; of a loan perhaps a part
-   * @param waitMilliseconds how long until tokens that were not granted are earned
+   * @param grantedTokens all requested tokens or none; for a loan possibly some of them
+   * @param waitMilliseconds time until the tokens that were not granted have accrued
    */
   record QuotaAnswer(double grantedTokens, long waitMilliseconds) implements PeerMessage {}
 
   /**
-   * Gives tokens back that were granted to a request that has not run. Immutable.
+   * Returns tokens that were granted to a request that was not executed. Immutable.
    *
    * @param account the client account's name
    */
   record QuotaReturn(String account, double tokens) implements PeerMessage {}
 
   /**
-   * Tells what a runner said of itself in an answer. Immutable.
+   * Forwards the availability that a runner reported in a response. Immutable.
    *
    * @param runner the runner's identifier
    * @param startTimeMilliseconds the wall-clock time of its start
-   * @param leavingAgeMilliseconds how long ago it said that it leaves; empty if it did not
-   * @param quietMilliseconds how long it still wants no requests; 0 if it takes them
+   * @param leavingAgeMilliseconds how long ago it reported that it is leaving; empty if it did not
+   * @param quietMilliseconds how much longer it accepts no requests; 0 if it accepts them
    */
   record RunnerNotice(
       String runner,
@@ -228,14 +229,14 @@
       implements PeerMessage {}
 
   /**
-   * Asks for what an instance knows of the configuration and the runners. Immutable.
+   * Requests the configuration and the runner entries that an instance knows. Immutable.
    *
-   * @param configurationVersion the version that the asker has; 0 if none
+   * @param configurationVersion the version that the requester has; 0 if none
    */
   record SnapshotRequest(long configurationVersion) implements PeerMessage {}
 
   /**
-   * Answers a snapshot request. Immutable as long as nobody changes the arrays.
+   * Answers a snapshot request. Immutable as long as the arrays are not changed.
    *
    * @param configuration the configuration as the store returned it; empty if it is not newer
    * @param runners the runners' entries as the store returned them
@@ -249,7 +250,7 @@
     }
   }
 
-  /** How much demand is added up. */
+  /** The instances over which demand is summed. */
   enum DemandScope {
     /** The instances of a failure domain. */
     FAILURE_DOMAIN,
@@ -258,17 +259,17 @@
   }
 
   /**
-   * A statement about one member. Immutable.
+   * An update about one member. Immutable.
    *
    * @param instance the member
-   * @param incarnation the member's own count of its statements
-   * @param liveness what is believed of it
+   * @param incarnation number that the member increments with each of its own updates
+   * @param liveness the member's liveness in the sender's view
    */
   record MemberStatement(Instance instance, long incarnation, MemberLiveness liveness) {}
 
-  /** What is believed of a member. */
+  /** Liveness of a member in the sender's view. */
   enum MemberLiveness {
-    /** It answers. */
+    /** It responds to probes. */
     ALIVE,
     /** It is suspected to be dead. */
     SUSPECT,
@@ -280,18 +281,18 @@
    * A notice that an upstream is leaving. Immutable.
    *
    * @param name the upstream's name
-   * @param remainingMilliseconds how long the notice still holds
+   * @param remainingMilliseconds remaining time for which the notice is valid
    */
   record LeavingUpstream(String name, long remainingMilliseconds) {}
 
-  /** What a step of the membership protocol is for. */
+  /** The purpose of a membership message, with its data. */
   sealed interface MembershipOperation {}
 
   /**
-   * Asks for an acknowledgement. Immutable.
+   * Requests an acknowledgement. Immutable.
    *
    * @param sequence returned in the acknowledgement
-   * @param target the identifier of the member that should answer
+   * @param target the identifier of the member that must answer
    */
   record Probe(long sequence, String target) implements MembershipOperation {}
 
@@ -304,23 +305,23 @@
   record Acknowledgement(long sequence, boolean reached) implements MembershipOperation {}
 
   /**
-   * Asks for a probe of a third member. Immutable.
+   * Requests that the receiver probe a third member. Immutable.
    *
    * @param sequence returned in the acknowledgement
    * @param target the identifier of the member to probe
-   * @param address where the target listens
+   * @param address the target's address
    */
   record IndirectProbe(long sequence, String target, Address address)
       implements MembershipOperation {}
 
-  /** Spreads news only. Immutable. */
+  /** Spreads updates without further data. Immutable. */
   record Gossip() implements MembershipOperation {}
 
   /**
-   * Begins or continues an exchange of member tables. Immutable.
+   * Starts or continues an exchange of member tables. Immutable.
    *
-   * @param afterId where the sender's page starts
-   * @param lastPage whether the sender has nothing after it
+   * @param afterId the identifier after which the sender's page starts
+   * @param lastPage whether the sender has no member after its page
    * @param tableHash the hash of the sender's table
    */
   record StateRequest(String afterId, boolean lastPage, long tableHash)
@@ -329,8 +330,8 @@
   /**
    * Answers a state request. Immutable.
    *
-   * @param nextAfterId where the next page starts
-   * @param more whether there is one
+   * @param nextAfterId the identifier after which the next page starts
+   * @param more whether there is a next page
    */
   record StateAnswer(String nextAfterId, boolean more) implements MembershipOperation {}
 }
--- a/peer/src/main/java/org/agatefield/peer/PeerPipeline.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerPipeline.java
@@ -19,7 +19,7 @@
 import org.agatefield.model.Address;
 import org.agatefield.peer.generated.PeerProtocol.Envelope;
 
-/** Sets up the handlers of a new connection. Safe for use by any thread. */
+/** Adds the channel handlers to a new connection. Thread-safe. */
 final class PeerPipeline extends ChannelInitializer<SocketChannel> {
   private static final int LENGTH_BYTES = 4;
 
@@ -36,14 +36,17 @@
     this.tls = tls;
   }
 
-  /** Returns the set-up of connections that come in. */
+  /** Returns the initializer for incoming connections. */
   static PeerPipeline incoming(
       NettyPeerTransport transport, PeerTransportSettings settings, Optional<SslContext> tls) {
     return new PeerPipeline(
         transport, settings, channel -> tls.map(context -> context.newHandler(channel.alloc())));
   }
 
-  /** Returns the set-up of a connection that goes out; the certificate must be for its address. */
+  /**
+   * Returns the initializer for an outgoing connection; the peer's certificate must match its
+   * address.
+   */
   static PeerPipeline outgoing(
       NettyPeerTransport transport,
       PeerTransportSettings settings,
--- a/peer/src/main/java/org/agatefield/peer/PeerTls.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerTls.java
@@ -5,7 +5,7 @@
 /**
  * The TLS contexts of a peer transport. Immutable.
  *
- * @param server for connections that come in; asks for the peer's certificate
- * @param client for connections that go out
+ * @param server for incoming connections; requests the peer's certificate
+ * @param client for outgoing connections
  */
 public record PeerTls(SslContext server, SslContext client) {}
--- a/peer/src/main/java/org/agatefield/peer/PeerTraffic.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerTraffic.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what a transport carried. Safe for use by any thread. */
+/** Counts the messages, bytes and connections of a transport. Thread-safe. */
 public final class PeerTraffic {
   private final LongAdder messagesSent = new LongAdder();
   private final LongAdder messagesReceived = new LongAdder();
@@ -39,17 +39,19 @@
     return messagesReceived.sum();
   }
 
-  /** Returns the number of bytes sent, lengths included, without those of TCP and TLS. */
+  /** Returns the number of bytes sent, including frame lengths, excluding TCP and TLS overhead. */
   public long bytesSent() {
     return bytesSent.sum();
   }
 
-  /** Returns the number of bytes received, lengths included, without those of TCP and TLS. */
+  /**
+   * Returns the number of bytes received, including frame lengths, excluding TCP and TLS overhead.
+   */
   public long bytesReceived() {
     return bytesReceived.sum();
   }
 
-  /** Returns the number of messages that were given up because they could not be written. */
+  /** Returns the number of messages dropped because they could not be written. */
   public long messagesDropped() {
     return messagesDropped.sum();
   }
--- a/peer/src/main/java/org/agatefield/peer/PeerTransportSettings.java
+++ b/peer/src/main/java/org/agatefield/peer/PeerTransportSettings.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * Bounds of a peer transport. Immutable.
+ * Limits and time-outs of a peer transport. Immutable.
  *
- * @param frameBytes largest frame; a connection that brings a larger one is closed
- * @param writeBufferBytes messages to a peer are dropped while more than this waits to be written
- * @param openRequests most requests that wait for an answer on one connection
- * @param connectTimeout how long a connection may take to open
- * @param requestTimeout how long a request may take
- * @param idleTimeout a connection that carried nothing for so long is closed
+ * @param frameBytes maximum frame size; a connection that receives a larger frame is closed
+ * @param writeBufferBytes size of the write buffer above which messages to a peer are dropped
+ * @param openRequests maximum number of unanswered requests on one connection
+ * @param connectTimeout maximum time to open a connection
+ * @param requestTimeout maximum time from a request to its answer
+ * @param idleTimeout time without traffic after which a connection is closed
  */
 public record PeerTransportSettings(
     int frameBytes,
@@ -26,7 +26,7 @@
   private static final int REQUEST_TIMEOUT_MILLISECONDS = 5_000;
   private static final int IDLE_TIMEOUT_SECONDS = 60;
 
-  /** Returns the usual bounds. */
+  /** Returns the default limits and time-outs. */
   public static PeerTransportSettings defaults() {
     return new PeerTransportSettings(
         FRAME_BYTES,
--- a/peer/src/main/java/org/agatefield/peer/package-info.java
+++ b/peer/src/main/java/org/agatefield/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The instance-to-instance protocol: one multiplexed connection for each pair of instances, with
+ * The protocol between instances: one multiplexed connection per pair of instances, with
  * length-prefixed protobuf frames over TCP.
  *
  * <p>The schema is {@code src/main/proto/peer.proto}; the package {@code generated} is generated
--- a/placement/src/main/java/org/agatefield/placement/AdapterReservation.java
+++ b/placement/src/main/java/org/agatefield/placement/AdapterReservation.java
@@ -1,7 +1,7 @@
 package org.agatefield.placement;
 
 /**
- * Memory that is reserved for one adapter beside a version. Immutable.
+ * Memory reserved for one adapter of a version. Immutable.
  *
  * @param name the adapter's name
  * @param memoryMegabytes accelerator memory that the loaded adapter takes
--- a/placement/src/main/java/org/agatefield/placement/DemandReplicaPolicy.java
+++ b/placement/src/main/java/org/agatefield/placement/DemandReplicaPolicy.java
@@ -6,17 +6,16 @@
 import java.util.Optional;
 
 /**
- * Makes the replicas that even out the engines' work most, models without a replica first.
+ * Adds the replicas that balance the load of the engines best, models without a replica first.
  *
- * <p>Answers the load pattern of a few models with most of the demand and many with little, where
- * the few change within seconds: demand that moves finds more replicas within a load's time, and
- * models that nobody asks for make way. Invariants: the last replica of a model with requests that
- * wait or run, or that was asked for in the last second, is never given up; an engine is never
- * filled beyond its memory; each engine gets at most one move, and only if it can take an order.
- * Stateless.
+ * <p>Designed for demand that concentrates on a few models and shifts to others within seconds: a
+ * model whose demand rises gets more replicas within the time of one load, and models without
+ * requests are unloaded for them. Invariants: the last replica of a model that has waiting or
+ * running requests, or was requested in the last second, is never unloaded; an engine's memory is
+ * never exceeded; each engine gets at most one move, and only if it accepts orders. Stateless.
  */
 public final class DemandReplicaPolicy implements ReplicaPolicy {
-  private static final int MOVES_PER_PLAN = 8; // bounds the time of a plan; the next one goes on
+  private static final int MOVES_PER_PLAN = 8; // bounds the planning time; the next plan continues
 
   @Override
   public List<ReplicaMove> plan(
@@ -26,16 +25,16 @@
       int storeLoads) {
     ReplicaDraft draft = new ReplicaDraft(engines, models, demands);
     List<ReplicaMove> moves = new ArrayList<>();
-    int storeLoadsLeft = storeLoads;
-    Optional<ReplicaDraft.Scored> best = draft.best(storeLoadsLeft);
+    int remainingStoreLoads = storeLoads;
+    Optional<ReplicaDraft.ScoredMove> best = draft.best(remainingStoreLoads);
     while (best.isPresent() && moves.size() < MOVES_PER_PLAN) {
       ReplicaMove move = best.get().move();
       moves.add(move);
       draft.apply(best.get());
       if (move.fromStore()) {
-        storeLoadsLeft--;
+        remainingStoreLoads--;
       }
-      best = draft.best(storeLoadsLeft);
+      best = draft.best(remainingStoreLoads);
     }
     return moves;
   }
--- a/placement/src/main/java/org/agatefield/placement/DemandTracker.java
+++ b/placement/src/main/java/org/agatefield/placement/DemandTracker.java
@@ -6,15 +6,16 @@
 import org.agatefield.model.ModelDemand;
 
 /**
- * The demand for each model over all instances, as their reports tell it.
+ * Tracks the demand for each model from the reports of all instances.
  *
- * <p>Rates are averaged over about {@link #MEMORY_MILLISECONDS}, so that demand that moves is seen
- * within a second or two. What an instance has waiting and running is dropped when it falls silent.
- * Confined to one thread.
+ * <p>Rates are averaged over about {@link #RATE_WINDOW_MILLISECONDS}, so that a shift in demand
+ * shows within a second or two. The waiting and running requests of an instance stop counting when
+ * its reports stop. Confined to one thread.
  */
 public final class DemandTracker {
-  private static final double MEMORY_MILLISECONDS = 2_000; // demand moves within a second or two
-  private static final long REPORT_AGE_MILLISECONDS = 1_500; // several reports long
+  private static final double RATE_WINDOW_MILLISECONDS =
+      2_000; // demand shifts within a second or two
+  private static final long MAXIMUM_REPORT_AGE_MILLISECONDS = 1_500; // several report intervals
 
   private final Map<String, ModelRate> rates = new HashMap<>();
   private final Map<String, InstanceReport> reports = new HashMap<>();
@@ -25,12 +26,12 @@
     private double tokensPerSecond;
     private double requestsPerSecond;
     private long updatedAt;
-    private long askedAt = Long.MIN_VALUE / 2;
+    private long lastRequestAt = Long.MIN_VALUE / 2;
 
     void decayTo(long now) {
-      double kept = Math.exp(-Math.max(0, now - updatedAt) / MEMORY_MILLISECONDS);
-      tokensPerSecond *= kept;
-      requestsPerSecond *= kept;
+      double remaining = Math.exp(-Math.max(0, now - updatedAt) / RATE_WINDOW_MILLISECONDS);
+      tokensPerSecond *= remaining;
+      requestsPerSecond *= remaining;
       updatedAt = now;
     }
   }
@@ -42,7 +43,7 @@
    * @param requestsPerSecond requests that arrive
    * @param waiting requests that wait for a runner
    * @param running requests at runners
-   * @param idleMilliseconds how long nobody has asked for it
+   * @param idleMilliseconds time since requests last arrived or waited
    * @param runningAt requests at runners, by the runner's identifier
    */
   public record Demand(
@@ -52,7 +53,7 @@
       int running,
       long idleMilliseconds,
       Map<String, Integer> runningAt) {
-    /** Nobody asks for the model. */
+    /** No demand. */
     public static final Demand NONE = new Demand(0, 0, 0, 0, Long.MAX_VALUE / 2, Map.of());
 
     /** Copies the map. */
@@ -61,30 +62,31 @@
     }
   }
 
-  /** Takes in a report. */
+  /** Records a report, which replaces the instance's earlier one. */
   public void record(String instance, List<ModelDemand> demands, long nowMilliseconds) {
     reports.put(instance, new InstanceReport(List.copyOf(demands), nowMilliseconds));
     for (ModelDemand demand : demands) {
       ModelRate rate = rates.computeIfAbsent(demand.model(), ignored -> new ModelRate());
       rate.decayTo(nowMilliseconds);
-      double perSecond = 1_000 / MEMORY_MILLISECONDS;
+      double perSecond = 1_000 / RATE_WINDOW_MILLISECONDS;
       rate.tokensPerSecond += demand.arrivedTokens() * perSecond;
       rate.requestsPerSecond += demand.arrivedRequests() * perSecond;
       if (demand.arrivedRequests() > 0 || demand.waitingRequests() > 0) {
-        rate.askedAt = nowMilliseconds;
+        rate.lastRequestAt = nowMilliseconds;
       }
     }
   }
 
-  /** Returns the demand for every model that was ever asked for. */
+  /** Returns the demand for every model that was ever reported. */
   public Map<String, Demand> demands(long nowMilliseconds) {
     reports
         .values()
-        .removeIf(report -> nowMilliseconds - report.atMilliseconds() > REPORT_AGE_MILLISECONDS);
-    Map<String, Presence> presences = new HashMap<>();
+        .removeIf(
+            report -> nowMilliseconds - report.atMilliseconds() > MAXIMUM_REPORT_AGE_MILLISECONDS);
+    Map<String, RequestCounts> countsByModel = new HashMap<>();
     for (InstanceReport report : reports.values()) {
       for (ModelDemand each : report.demands()) {
-        presences.computeIfAbsent(each.model(), ignored -> new Presence()).add(each);
+        countsByModel.computeIfAbsent(each.model(), ignored -> new RequestCounts()).add(each);
       }
     }
     Map<String, Demand> demands = new HashMap<>();
@@ -92,12 +94,15 @@
         (model, rate) ->
             demands.put(
                 model,
-                demand(rate, presences.getOrDefault(model, new Presence()), nowMilliseconds)));
+                demand(
+                    rate,
+                    countsByModel.getOrDefault(model, new RequestCounts()),
+                    nowMilliseconds)));
     return demands;
   }
 
-  /** What all instances have of a model. */
-  private static final class Presence {
+  /** Counts the requests for one model, summed over all instances. */
+  private static final class RequestCounts {
     private int waiting;
     private int running;
     private final Map<String, Integer> runningAt = new HashMap<>();
@@ -109,14 +114,14 @@
     }
   }
 
-  private static Demand demand(ModelRate rate, Presence presence, long now) {
+  private static Demand demand(ModelRate rate, RequestCounts counts, long now) {
     rate.decayTo(now);
     return new Demand(
         rate.tokensPerSecond,
         rate.requestsPerSecond,
-        presence.waiting,
-        presence.running,
-        now - rate.askedAt,
-        presence.runningAt);
+        counts.waiting,
+        counts.running,
+        now - rate.lastRequestAt,
+        counts.runningAt);
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/DesiredVersion.java
+++ b/placement/src/main/java/org/agatefield/placement/DesiredVersion.java
@@ -9,15 +9,15 @@
 import org.agatefield.model.VersionId;
 
 /**
- * A version that the configuration wants resident. Immutable.
+ * A version that must be resident according to the configuration. Immutable.
  *
  * @param version the version
  * @param size the memory of one replica
- * @param minimumReplicas runners that it must lie on
- * @param share its part of the deployment's requests, above 0 and at most 1
+ * @param minimumReplicas number of runners that must hold it
+ * @param share its share of the deployment's requests, above 0 and at most 1
  */
 record DesiredVersion(VersionId version, ReplicaSize size, int minimumReplicas, double share) {
-  /** Returns every version with a weight above 0, the largest first. */
+  /** Returns every version with a weight above 0, largest first. */
   static List<DesiredVersion> of(ConfigurationDocument configuration) {
     List<DesiredVersion> wanted = new ArrayList<>();
     for (Deployment deployment : configuration.deployments()) {
--- a/placement/src/main/java/org/agatefield/placement/DrainPolicy.java
+++ b/placement/src/main/java/org/agatefield/placement/DrainPolicy.java
@@ -6,15 +6,14 @@
 import org.agatefield.model.VersionId;
 
 /**
- * When a draining replica is unloaded, and when it must serve again. The same for every policy.
+ * Decides when a draining replica is unloaded and when it serves again. Applies to every placement
+ * policy. Immutable and thread-safe.
  *
- * <p>Immutable; safe for use by any thread.
- *
- * @param minimumNanoseconds how long every instance needs to learn that a replica drains
- * @param maximumNanoseconds how long requests that run there may take to end
+ * @param minimumNanoseconds time within which every instance learns that a replica drains
+ * @param maximumNanoseconds time after which a replica is unloaded even if requests still run there
  */
 public record DrainPolicy(long minimumNanoseconds, long maximumNanoseconds) {
-  /** Adds to the draft what becomes of each draining replica. */
+  /** Adds the moves of the draining replicas to the draft. */
   void apply(PlacementDraft draft) {
     Set<VersionId> wanted =
         DesiredVersion.of(draft.input().configuration()).stream()
@@ -49,7 +48,7 @@
     return age >= maximumNanoseconds || (idle && age >= minimumNanoseconds);
   }
 
-  /** Returns the states in which a version still takes memory that a drain would free later. */
+  /** Returns the states of replicas that still take memory but will be unloaded. */
   static List<LedgerState> leavingStates() {
     return List.of(LedgerState.DRAINING, LedgerState.UNLOADING);
   }
--- a/placement/src/main/java/org/agatefield/placement/EngineView.java
+++ b/placement/src/main/java/org/agatefield/placement/EngineView.java
@@ -3,16 +3,16 @@
 import java.util.Set;
 
 /**
- * A model engine as the planner sees it. Immutable.
+ * Describes a model engine to the planner. Immutable.
  *
  * @param id the runner's identifier
  * @param failureDomain the name of its failure domain
  * @param capacityMegabytes memory for weights and adapters
- * @param reservedMegabytes memory that adapters and unanswered orders may take
- * @param held the models that it holds or that an unanswered order may still load
- * @param inHostMemory models whose weights lie in its host memory
- * @param onDisk models whose weights lie on its disk
- * @param acceptsOrders whether it can take an order now
+ * @param reservedMegabytes memory that adapters and unconfirmed orders may take
+ * @param held models that are loaded or that an unconfirmed order may still load
+ * @param inHostMemory models whose weights are in its host memory
+ * @param onDisk models whose weights are on its disk
+ * @param acceptsOrders whether an order can be sent to it now
  */
 public record EngineView(
     String id,
--- a/placement/src/main/java/org/agatefield/placement/GainPlacement.java
+++ b/placement/src/main/java/org/agatefield/placement/GainPlacement.java
@@ -9,11 +9,11 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Keeps every version resident and gives spare memory to where a further replica is expected to
- * gain the most answers in time for each gigabyte.
+ * Keeps every version resident and uses spare memory for the replica that is expected to add the
+ * most timely answers per gigabyte.
  *
- * <p>Demand is smoothed over time, a further replica must gain more than a threshold, and a replica
- * is only displaced by one that gains several times as much, so that noise moves nothing.
+ * <p>Noise in the demand causes no moves: demand is smoothed over time, a further replica must gain
+ * more than a threshold, and only a replica with several times the gain displaces another.
  */
 public final class GainPlacement implements PlacementPolicy {
   private static final double MEGABYTES_PER_GIGABYTE = 1_000;
@@ -23,7 +23,7 @@
   private final Map<String, Double> smoothedRequests = new HashMap<>();
   private long smoothedAtNanoseconds = Long.MIN_VALUE;
 
-  /** Creates a policy. */
+  /** Creates a policy without demand history. */
   public GainPlacement(GainSettings settings) {
     this.settings = settings;
   }
@@ -48,7 +48,7 @@
       busy.merge(sample.deployment(), sample.busySecondsPerSecond() * scale, Double::sum);
       requests.merge(sample.deployment(), offered, Double::sum);
     }
-    double weight = newWeight(input.nowNanoseconds());
+    double weight = smoothingWeight(input.nowNanoseconds());
     input
         .configuration()
         .deployments()
@@ -59,7 +59,7 @@
             });
   }
 
-  private double newWeight(long nowNanoseconds) {
+  private double smoothingWeight(long nowNanoseconds) {
     if (smoothedAtNanoseconds == Long.MIN_VALUE) {
       smoothedAtNanoseconds = nowNanoseconds;
       return 1;
@@ -86,7 +86,7 @@
       if (gain < settings.minimumGain()) {
         return;
       }
-      Optional<RunnerView> runner = quietestRunner(draft, version);
+      Optional<RunnerView> runner = leastLoadedRunner(draft, version);
       if (runner.isPresent()) {
         draft.tryMove(MoveKind.LOAD, runner.get(), version.version(), "gain " + gain);
         return;
@@ -101,7 +101,7 @@
     return draft.current(version.version()).size();
   }
 
-  /** Returns the answers in time each second and gigabyte that one replica more would gain. */
+  /** Returns the timely answers per second and gigabyte that one more replica would add. */
   private double gain(PlacementDraft draft, DesiredVersion version, int replicas) {
     String deployment = version.version().deployment();
     double busy = smoothedBusy.getOrDefault(deployment, 0.0) * version.share();
@@ -112,13 +112,13 @@
     return requests * (before - after) / gigabytes;
   }
 
-  /** Returns the share of answers expected late when one replica is that busy. */
+  /** Returns the expected share of late answers for a replica that is busy to this degree. */
   private static double lateShare(double busy) {
     double squared = busy * busy;
     return squared / (1 + squared);
   }
 
-  private Optional<RunnerView> quietestRunner(PlacementDraft draft, DesiredVersion version) {
+  private Optional<RunnerView> leastLoadedRunner(PlacementDraft draft, DesiredVersion version) {
     return draft.availableRunners().stream()
         .filter(view -> draft.fits(view, version.version(), version.size()))
         .min(
@@ -136,14 +136,14 @@
     return load / Math.max(1, view.upstream().accelerators());
   }
 
-  /** Drains replicas beyond the minimum that gain far less; returns whether it did. */
+  /** Drains a replica beyond the minimum whose gain is far lower; returns whether it did. */
   private boolean displace(PlacementDraft draft, DesiredVersion version, double gain) {
     for (RunnerView view : draft.availableRunners()) {
       if (draft.entry(view, version.version()).isPresent()) {
         continue;
       }
       long missing = version.size().totalMegabytes() - draft.freeMegabytes(view);
-      Optional<DesiredVersion> victim = weakest(draft, view, missing, gain);
+      Optional<DesiredVersion> victim = lowestGain(draft, view, missing, gain);
       if (victim.isPresent()) {
         String reason = "gains less than " + version.version();
         return draft.tryMove(MoveKind.DRAIN, view, victim.get().version(), reason);
@@ -152,7 +152,7 @@
     return false;
   }
 
-  private Optional<DesiredVersion> weakest(
+  private Optional<DesiredVersion> lowestGain(
       PlacementDraft draft, RunnerView view, long missing, double gain) {
     return DesiredVersion.of(draft.input().configuration()).stream()
         .filter(
--- a/placement/src/main/java/org/agatefield/placement/GainSettings.java
+++ b/placement/src/main/java/org/agatefield/placement/GainSettings.java
@@ -1,11 +1,12 @@
 package org.agatefield.placement;
 
 /**
- * How eagerly {@link GainPlacement} moves. Immutable.
+ * Settings of {@link GainPlacement}. Immutable.
  *
  * @param smoothingNanoseconds time constant of the smoothed demand
- * @param minimumGain answers in time each second and gigabyte below which nothing is loaded
- * @param displacementFactor how many times more a replica must gain than the one that it displaces
+ * @param minimumGain timely answers per second and gigabyte below which no replica is added
+ * @param displacementFactor factor by which a replica's gain must exceed that of the one it
+ *     displaces
  */
 public record GainSettings(
     double smoothingNanoseconds, double minimumGain, double displacementFactor) {
@@ -13,7 +14,7 @@
   private static final double MINIMUM_GAIN = 0.005;
   private static final double DISPLACEMENT_FACTOR = 3;
 
-  /** Returns the settings of a daemon. */
+  /** Returns the settings that a daemon uses. */
   public static GainSettings standard() {
     return new GainSettings(SMOOTHING_NANOSECONDS, MINIMUM_GAIN, DISPLACEMENT_FACTOR);
   }
--- a/placement/src/main/java/org/agatefield/placement/LedgerAges.java
+++ b/placement/src/main/java/org/agatefield/placement/LedgerAges.java
@@ -6,68 +6,68 @@
 import org.agatefield.model.VersionId;
 
 /**
- * What a planner itself has seen since it took over: how long each ledger entry has been as it is,
- * by its own monotonic clock, and which orders to unload the engines answered.
+ * Records what a planner has observed since it took over: how long each ledger entry has been
+ * unchanged, by its own monotonic clock, and which unload orders the engines confirmed.
  *
- * <p>A new planner begins with nothing, so that an age is never longer than the truth; clocks of
- * different instances are never compared. Not safe for use by several threads.
+ * <p>A new planner starts without observations, so that a measured age never exceeds the real one;
+ * clocks of different instances are never compared. Not thread-safe.
  */
 public final class LedgerAges {
-  /** What an age belongs to; a change of any part starts a new age. */
-  private record Sighting(LedgerState state, long orderToken, long firstSeenNanoseconds) {}
+  /** The observed state of an entry; a new state or order token restarts its age. */
+  private record Observation(LedgerState state, long orderToken, long firstSeenNanoseconds) {}
 
-  /** An order to unload that the engine carried out. */
-  private record Unload(long orderToken, long sentAtNanoseconds) {}
+  /** An unload order that the engine confirmed. */
+  private record ConfirmedUnload(long orderToken, long sentAtNanoseconds) {}
 
-  private final Map<String, Map<VersionId, Sighting>> sightings = new HashMap<>();
-  private final Map<String, Map<VersionId, Unload>> unloads = new HashMap<>();
+  private final Map<String, Map<VersionId, Observation>> observations = new HashMap<>();
+  private final Map<String, Map<VersionId, ConfirmedUnload>> confirmedUnloads = new HashMap<>();
 
-  /** Records a runner's ledger as seen at a time. */
+  /** Records a runner's ledger as it is at a time. */
   public void observe(RunnerLedger ledger, long nowNanoseconds) {
-    Map<VersionId, Sighting> earlier = sightings.getOrDefault(ledger.upstream(), Map.of());
-    Map<VersionId, Sighting> current = new HashMap<>();
+    Map<VersionId, Observation> earlier = observations.getOrDefault(ledger.upstream(), Map.of());
+    Map<VersionId, Observation> current = new HashMap<>();
     for (LedgerEntry entry : ledger.entries()) {
-      Sighting seen = earlier.get(entry.version());
+      Observation seen = earlier.get(entry.version());
       boolean unchanged =
           seen != null && seen.state() == entry.state() && seen.orderToken() == entry.orderToken();
       current.put(
           entry.version(),
-          unchanged ? seen : new Sighting(entry.state(), entry.orderToken(), nowNanoseconds));
+          unchanged ? seen : new Observation(entry.state(), entry.orderToken(), nowNanoseconds));
     }
-    sightings.put(ledger.upstream(), current);
+    observations.put(ledger.upstream(), current);
   }
 
-  /** Returns how long the entry has been seen as it is; 0 if it was not observed. */
+  /** Returns how long the entry has been observed unchanged; 0 if it was not observed. */
   public long ageNanoseconds(String upstream, LedgerEntry entry, long nowNanoseconds) {
     return nowNanoseconds - firstSeenNanoseconds(upstream, entry, nowNanoseconds);
   }
 
-  /** Returns when the entry was first seen as it is; {@code otherwise} if it was not observed. */
+  /** Returns when the entry was first observed in its present state, or {@code otherwise}. */
   public long firstSeenNanoseconds(String upstream, LedgerEntry entry, long otherwise) {
-    Sighting seen = sightings.getOrDefault(upstream, Map.of()).get(entry.version());
+    Observation seen = observations.getOrDefault(upstream, Map.of()).get(entry.version());
     boolean same =
         seen != null && seen.state() == entry.state() && seen.orderToken() == entry.orderToken();
     return same ? seen.firstSeenNanoseconds() : otherwise;
   }
 
-  /** Records that an engine answered an order to unload a version as done. */
+  /** Records that an engine confirmed an order to unload a version. */
   public void recordUnload(
       String upstream, VersionId version, long orderToken, long sentAtNanoseconds) {
-    unloads
+    confirmedUnloads
         .computeIfAbsent(upstream, created -> new HashMap<>())
-        .put(version, new Unload(orderToken, sentAtNanoseconds));
+        .put(version, new ConfirmedUnload(orderToken, sentAtNanoseconds));
   }
 
-  /** Returns when the last order to unload the entry was sent, if the engine carried it out. */
+  /** Returns when the entry's last unload order was sent, if the engine confirmed it. */
   public OptionalLong unloadSentNanoseconds(String upstream, LedgerEntry entry) {
-    Unload unload = unloads.getOrDefault(upstream, Map.of()).get(entry.version());
+    ConfirmedUnload unload = confirmedUnloads.getOrDefault(upstream, Map.of()).get(entry.version());
     boolean same = unload != null && unload.orderToken() == entry.orderToken();
     return same ? OptionalLong.of(unload.sentAtNanoseconds()) : OptionalLong.empty();
   }
 
-  /** Forgets everything, as a planner does that gains its lease anew. */
+  /** Discards all observations; called when the planner acquires its lease again. */
   public void clear() {
-    sightings.clear();
-    unloads.clear();
+    observations.clear();
+    confirmedUnloads.clear();
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/LedgerEntry.java
+++ b/placement/src/main/java/org/agatefield/placement/LedgerEntry.java
@@ -4,15 +4,15 @@
 import org.agatefield.model.VersionId;
 
 /**
- * What a ledger says of one version on its runner. Immutable.
+ * The ledger entry of one version on one runner. Immutable.
  *
  * <p>Invariant: the reservation of an entry never shrinks before the entry is released.
  *
  * @param version the version
  * @param memoryMegabytes memory that the loaded version takes, without adapters
  * @param adapters adapters that may be loaded beside it at any time, each with its memory
- * @param state how far the version has come
- * @param orderToken the fencing token of the last order about the version
+ * @param state stage of the version's life on the runner
+ * @param orderToken the fencing token of the last order for the version
  */
 public record LedgerEntry(
     VersionId version,
@@ -35,7 +35,7 @@
     return memoryMegabytes + adapters.stream().mapToLong(AdapterReservation::memoryMegabytes).sum();
   }
 
-  /** Returns whether the engine was proved to hold the version and no unload was ordered. */
+  /** Returns whether the engine reported the version loaded and no unload was ordered. */
   public boolean isLoaded() {
     return state == LedgerState.SERVING || state == LedgerState.DRAINING;
   }
--- a/placement/src/main/java/org/agatefield/placement/LedgerState.java
+++ b/placement/src/main/java/org/agatefield/placement/LedgerState.java
@@ -1,20 +1,20 @@
 package org.agatefield.placement;
 
-/** How far a version on a runner has come. */
+/** Stages in the life of a version on a runner. */
 public enum LedgerState {
-  /** Memory is reserved; an order to load may have been sent. Not given requests. */
+  /** Memory is reserved; an order to load may have been sent. Gets no requests. */
   LOADING,
-  /** The engine reported the version loaded; it may be given requests. */
+  /** The engine reported the version loaded; it may get requests. */
   SERVING,
-  /** The engine holds the version; new requests should go elsewhere. */
+  /** The engine holds the version; new requests should go to other replicas. */
   DRAINING,
-  /** An order to unload may have been sent. Not given requests; its memory is still reserved. */
+  /** An order to unload may have been sent. Gets no requests; its memory is still reserved. */
   UNLOADING,
   /**
-   * The engine proved that it no longer holds the version. Takes no memory; kept as long as an
-   * unfenced order for the earlier replica may still arrive: a new replica of the version on this
-   * runner reserves the memory of the earlier adapters too, and waits if the engine ignores fencing
-   * tokens.
+   * The engine is proved to no longer hold the version. Takes no memory. The entry is retained
+   * while an unfenced order for the earlier replica may still arrive: a new replica of the version
+   * on this runner also reserves the memory of the earlier adapters, and waits if the engine
+   * ignores fencing tokens.
    */
   RETIRED
 }
