--- a/placement/src/main/java/org/agatefield/placement/LedgerTransitions.java
+++ b/placement/src/main/java/org/agatefield/placement/LedgerTransitions.java
@@ -6,21 +6,24 @@
 import org.agatefield.model.VersionId;
 
 /**
- * The changes that a ledger may undergo; the caller writes each by a conditional update before it
- * sends an order. Has no state.
+ * Computes the permitted changes of a ledger. The caller stores each change by a conditional update
+ * before it sends the order. Stateless.
  *
- * <p>Every method fails with {@link IllegalStateException} if the change would break an invariant
- * of the ledger.
+ * <p>Every method throws {@link IllegalStateException} if the change would break an invariant of
+ * the ledger.
  */
 public final class LedgerTransitions {
-  /** Order tokens of one lease grant; the grant's own token stands above these bits. */
+  /** Bits that number the orders of one lease grant; the grant's token takes the higher bits. */
   private static final int SEQUENCE_BITS = 24;
 
   private LedgerTransitions() {}
 
-  /** Returns the ledger as taken over by the planner with that lease token. */
+  /** Assigns the ledger to the planner with that lease token. */
   public static RunnerLedger takeOver(RunnerLedger ledger, long memoryMegabytes, long leaseToken) {
-    require(leaseToken >= ledger.plannerToken(), ledger, "a later planner has taken over");
+    require(
+        leaseToken >= ledger.plannerToken(),
+        ledger,
+        "a planner with a higher token has taken over");
     return new RunnerLedger(
         ledger.upstream(),
         memoryMegabytes,
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Records a new start of the engine, which holds nothing that was loaded before; what served is
-   * to be loaded again.
+   * Records a restart of the engine, which lost everything that was loaded; loaded versions return
+   * to {@link LedgerState#LOADING}.
    */
   public static RunnerLedger restarted(RunnerLedger ledger, String bootIdentifier) {
     List<LedgerEntry> entries = new ArrayList<>();
@@ -51,7 +54,7 @@
   /**
    * Reserves memory for a version, with a token for the order to load it.
    *
-   * <p>A version that was retired here takes over the adapters that may still arrive.
+   * <p>A retired entry's adapters are included, as orders to load them may still arrive.
    */
   public static RunnerLedger reserve(
       RunnerLedger ledger,
@@ -60,7 +63,7 @@
       List<AdapterReservation> adapters) {
     LedgerEntry earlier =
         ledger.entry(version).orElse(newEntry(version, memoryMegabytes, adapters));
-    require(earlier.state() == LedgerState.RETIRED, ledger, version + " is there already");
+    require(earlier.state() == LedgerState.RETIRED, ledger, version + " already has an entry");
     long token = nextToken(ledger);
     LedgerEntry entry =
         earlier
@@ -75,7 +78,7 @@
     return withHighestToken(replace(ledger, entry), token);
   }
 
-  /** Returns the memory that {@link #reserve} takes for a version. */
+  /** Returns the memory that {@link #reserve} would reserve for a version. */
   public static long reservationMegabytes(
       RunnerLedger ledger,
       VersionId version,
@@ -108,46 +111,48 @@
     return replace(ledger, entry.withState(LedgerState.SERVING));
   }
 
-  /** Gives the version a new order to load it, because the engine lost it or refused the last. */
+  /** Issues a new load order, because the engine lost the version or refused the last order. */
   public static RunnerLedger renewLoadOrder(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(
-        entry.state() == LedgerState.LOADING || entry.isLoaded(), ledger, version + " is going");
+        entry.state() == LedgerState.LOADING || entry.isLoaded(),
+        ledger,
+        version + " is being unloaded");
     long token = nextToken(ledger);
     LedgerEntry loading = entry.withOrder(LedgerState.LOADING, token);
     return withHighestToken(replace(ledger, loading), token);
   }
 
-  /** Stops new requests to the version. */
+  /** Starts to drain the version, so that it gets no new requests. */
   public static RunnerLedger drain(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(entry.state() == LedgerState.SERVING, ledger, version + " does not serve");
     return replace(ledger, entry.withState(LedgerState.DRAINING));
   }
 
-  /** Gives the version requests again; no order to unload it was sent. */
+  /** Ends the draining of a version; no unload order was sent. */
   public static RunnerLedger resumeServing(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(entry.state() == LedgerState.DRAINING, ledger, version + " is not draining");
     return replace(ledger, entry.withState(LedgerState.SERVING));
   }
 
-  /** Begins to unload a version, or gives a new order to unload it. */
+  /** Starts to unload a version, or issues a new unload order. */
   public static RunnerLedger unload(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(entry.state() != LedgerState.SERVING, ledger, version + " still serves");
-    require(entry.state() != LedgerState.RETIRED, ledger, version + " is not there");
+    require(entry.state() != LedgerState.RETIRED, ledger, version + " is retired");
     long token = nextToken(ledger);
     LedgerEntry unloading = entry.withOrder(LedgerState.UNLOADING, token);
     return withHighestToken(replace(ledger, unloading), token);
   }
 
-  /** Counts a version that the engine holds although the ledger has no entry that says so. */
+  /** Adds an entry for a version that the engine holds without one, to be unloaded. */
   public static RunnerLedger adopt(RunnerLedger ledger, VersionId version, long memoryMegabytes) {
     require(
         ledger.entry(version).map(each -> each.state() == LedgerState.RETIRED).orElse(true),
         ledger,
-        version + " is there already");
+        version + " already has an entry");
     long token = nextToken(ledger);
     LedgerEntry entry =
         ledger
@@ -157,14 +162,14 @@
     return withHighestToken(replace(ledger, entry), token);
   }
 
-  /** Gives back the memory of a version; the caller has the evidence that it is safe. */
+  /** Releases the memory of a version; the caller has proof that the engine no longer uses it. */
   public static RunnerLedger release(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(entry.state() == LedgerState.UNLOADING, ledger, version + " is not being unloaded");
     return replace(ledger, entry.withState(LedgerState.RETIRED));
   }
 
-  /** Forgets a retired version, after no order about it can arrive any more. */
+  /** Removes a retired version once no order for it can arrive any more. */
   public static RunnerLedger forget(RunnerLedger ledger, VersionId version) {
     LedgerEntry entry = existing(ledger, version);
     require(entry.state() == LedgerState.RETIRED, ledger, version + " is not retired");
@@ -194,7 +199,7 @@
     return ledger
         .entry(version)
         .orElseThrow(
-            () -> new IllegalStateException(ledger.upstream() + ": no entry of " + version));
+            () -> new IllegalStateException(ledger.upstream() + ": no entry for " + version));
   }
 
   private static RunnerLedger replace(RunnerLedger ledger, LedgerEntry entry) {
--- a/placement/src/main/java/org/agatefield/placement/LoadBudget.java
+++ b/placement/src/main/java/org/agatefield/placement/LoadBudget.java
@@ -3,7 +3,7 @@
 import org.agatefield.model.WeightStoreLimits;
 
 /**
- * A token bucket for the loads that the weight store allows. Immutable.
+ * A token bucket that limits loads from the weight store. Immutable.
  *
  * @param tokens loads that may start now
  * @param refilledAtNanoseconds when tokens were last added
@@ -11,12 +11,12 @@
 public record LoadBudget(double tokens, long refilledAtNanoseconds) {
   private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-  /** Returns a budget that allows one load at once. */
+  /** Returns a budget that allows one load now. */
   public static LoadBudget startingAt(long nowNanoseconds) {
     return new LoadBudget(1, nowNanoseconds);
   }
 
-  /** Returns the budget after time has passed; it never holds more than the loads at once. */
+  /** Returns the budget refilled up to now; it never exceeds the limit on concurrent loads. */
   public LoadBudget refill(WeightStoreLimits limits, long nowNanoseconds) {
     double seconds = (nowNanoseconds - refilledAtNanoseconds) / NANOSECONDS_PER_SECOND;
     double filled = tokens + seconds * limits.loadsPerSecond();
@@ -28,7 +28,7 @@
     return new LoadBudget(tokens - 1, refilledAtNanoseconds);
   }
 
-  /** Returns the whole loads that may start now. */
+  /** Returns the number of loads that may start now. */
   public int available() {
     return (int) Math.max(0, Math.floor(tokens));
   }
--- a/placement/src/main/java/org/agatefield/placement/LoadDistribution.java
+++ b/placement/src/main/java/org/agatefield/placement/LoadDistribution.java
@@ -6,35 +6,38 @@
 import java.util.Map;
 
 /**
- * Spreads the work for models over the engines that hold them, as evenly as that allows.
+ * Distributes the load of each model over the engines that hold it, as evenly as possible.
  *
- * <p>Work is in engines: 1 keeps one engine busy. Confined to one thread.
+ * <p>Load is measured in engines: 1 keeps one engine busy. Confined to one thread.
  */
 final class LoadDistribution {
   private static final int ROUNDS = 3; // further rounds change little
 
   private final double[] load;
-  private final Map<String, double[]> parts = new HashMap<>();
+  private final Map<String, double[]> loadsByModel = new HashMap<>();
 
   private LoadDistribution(int engines) {
     this.load = new double[engines];
   }
 
   /**
-   * Spreads work.
+   * Distributes the offered load.
    *
-   * @param holders the engines' indices for each model
+   * @param offeredLoad the load of each model
+   * @param holders the indices of the engines that hold each model
    */
   static LoadDistribution of(
-      int engines, Map<String, Double> work, Map<String, List<Integer>> holders) {
-    LoadDistribution shares = new LoadDistribution(engines);
+      int engines, Map<String, Double> offeredLoad, Map<String, List<Integer>> holders) {
+    LoadDistribution distribution = new LoadDistribution(engines);
     for (int round = 0; round < ROUNDS; round++) {
-      holders.forEach((model, where) -> shares.spread(model, work.getOrDefault(model, 0.0), where));
+      holders.forEach(
+          (model, indices) ->
+              distribution.distribute(model, offeredLoad.getOrDefault(model, 0.0), indices));
     }
-    return shares;
+    return distribution;
   }
 
-  /** Returns a measure that grows faster than the load, so that even loads are preferred. */
+  /** Returns the sum of the squared loads, which is lowest when the load is even. */
   double cost() {
     double cost = 0;
     for (double each : load) {
@@ -47,47 +50,47 @@
     return load[engine];
   }
 
-  private void spread(String model, double work, List<Integer> where) {
-    double[] before = parts.remove(model);
+  private void distribute(String model, double modelLoad, List<Integer> indices) {
+    double[] before = loadsByModel.remove(model);
     if (before != null) {
-      for (int index = 0; index < where.size(); index++) {
-        load[where.get(index)] -= before[index];
+      for (int index = 0; index < indices.size(); index++) {
+        load[indices.get(index)] -= before[index];
       }
     }
-    if (work <= 0 || where.isEmpty()) {
+    if (modelLoad <= 0 || indices.isEmpty()) {
       return;
     }
-    double[] part = fill(work, where);
-    for (int index = 0; index < part.length; index++) {
-      load[where.get(index)] += part[index];
+    double[] added = fill(modelLoad, indices);
+    for (int index = 0; index < added.length; index++) {
+      load[indices.get(index)] += added[index];
     }
-    parts.put(model, part);
+    loadsByModel.put(model, added);
   }
 
-  /** Fills the least loaded engines up to a common level. */
-  private double[] fill(double work, List<Integer> where) {
-    double[] levels = new double[where.size()];
+  /** Fills the least loaded engines to a common level and returns what each of them gets. */
+  private double[] fill(double modelLoad, List<Integer> indices) {
+    double[] levels = new double[indices.size()];
     for (int index = 0; index < levels.length; index++) {
-      levels[index] = load[where.get(index)];
+      levels[index] = load[indices.get(index)];
     }
     double[] sorted = levels.clone();
     Arrays.sort(sorted);
     double level = sorted[0];
-    double left = work;
+    double remaining = modelLoad;
     for (int count = 1; count <= sorted.length; count++) {
       double next = count < sorted.length ? sorted[count] : Double.MAX_VALUE;
       double room = (next - level) * count;
-      if (room >= left) {
-        level += left / count;
+      if (room >= remaining) {
+        level += remaining / count;
         break;
       }
-      left -= room;
+      remaining -= room;
       level = next;
     }
-    double[] part = new double[levels.length];
+    double[] added = new double[levels.length];
     for (int index = 0; index < levels.length; index++) {
-      part[index] = Math.max(0, level - levels[index]);
+      added[index] = Math.max(0, level - levels[index]);
     }
-    return part;
+    return added;
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/LoadOnDemandPlacement.java
+++ b/placement/src/main/java/org/agatefield/placement/LoadOnDemandPlacement.java
@@ -10,9 +10,10 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Loads a version when demand for it arrives and drains the least recently used one for room.
+ * Loads a version when requests for it arrive and drains the least recently used ones to free
+ * memory.
  *
- * <p>A baseline to measure against: it does not keep every version resident.
+ * <p>Serves as the baseline of measurements: it does not keep every version resident.
  */
 public final class LoadOnDemandPlacement implements PlacementPolicy {
   private final Map<VersionId, Long> lastUsedNanoseconds = new HashMap<>();
@@ -35,13 +36,14 @@
     for (DesiredVersion version : wanted) {
       boolean used = demanded.contains(version.version().deployment());
       if (used && draft.current(version.version()).isEmpty()) {
-        loadOrMakeRoom(draft, version, demanded);
+        loadOrFreeMemory(draft, version, demanded);
       }
     }
     return draft.moves();
   }
 
-  private void loadOrMakeRoom(PlacementDraft draft, DesiredVersion version, Set<String> demanded) {
+  private void loadOrFreeMemory(
+      PlacementDraft draft, DesiredVersion version, Set<String> demanded) {
     boolean loaded =
         ResidentReplicas.bestRunner(draft, version)
             .map(view -> draft.tryMove(MoveKind.LOAD, view, version.version(), "demand arrived"))
@@ -50,13 +52,13 @@
       return;
     }
     for (RunnerView view : draft.availableRunners()) {
-      if (drainForRoom(draft, view, version, demanded)) {
+      if (drainLeastRecentlyUsed(draft, view, version, demanded)) {
         return;
       }
     }
   }
 
-  private boolean drainForRoom(
+  private boolean drainLeastRecentlyUsed(
       PlacementDraft draft, RunnerView view, DesiredVersion version, Set<String> demanded) {
     long missing = version.size().totalMegabytes() - freeLater(draft, view);
     if (missing <= 0) {
--- a/placement/src/main/java/org/agatefield/placement/ModelProfile.java
+++ b/placement/src/main/java/org/agatefield/placement/ModelProfile.java
@@ -1,10 +1,10 @@
 package org.agatefield.placement;
 
 /**
- * What it takes to hold a model. Immutable.
+ * The memory size and the load times of a model. Immutable.
  *
  * @param name the model's name
- * @param weightsMegabytes memory that its weights take
+ * @param weightsMegabytes size of its weights in memory
  * @param storeLoadMilliseconds time to load it from the weight store
  * @param diskLoadMilliseconds time to load it from a runner's disk
  * @param memoryLoadMilliseconds time to load it from a runner's host memory
@@ -15,7 +15,7 @@
     double storeLoadMilliseconds,
     double diskLoadMilliseconds,
     double memoryLoadMilliseconds) {
-  /** Returns how long a runner takes to load the model. */
+  /** Returns how long the engine takes to load the model. */
   public double loadMilliseconds(EngineView engine) {
     if (engine.inHostMemory().contains(name)) {
       return memoryLoadMilliseconds;
@@ -23,7 +23,7 @@
     return engine.onDisk().contains(name) ? diskLoadMilliseconds : storeLoadMilliseconds;
   }
 
-  /** Returns whether a runner would load it from the weight store. */
+  /** Returns whether the engine would load it from the weight store. */
   public boolean loadsFromStore(EngineView engine) {
     return !engine.inHostMemory().contains(name) && !engine.onDisk().contains(name);
   }
--- a/placement/src/main/java/org/agatefield/placement/PlacementDraft.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementDraft.java
@@ -9,17 +9,17 @@
 import org.agatefield.model.VersionId;
 
 /**
- * The ledgers as they will be after the moves that were chosen so far, with the limits on loads.
+ * Tracks the ledgers as they will be after the moves chosen so far, and the loads still allowed.
  *
- * <p>Invariant: every move that {@link #tryMove} took fits the ledgers, and the loads among them
- * keep within the weight store's limits. Used by one thread for one decision.
+ * <p>Invariant: every move that {@link #tryMove} accepted fits the ledgers, and its loads stay
+ * within the limits of the weight store. Confined to one thread and one plan.
  */
 final class PlacementDraft {
   private final PlacementInput input;
   private final Map<String, RunnerView> views = new LinkedHashMap<>();
   private final Map<String, RunnerLedger> ledgers = new HashMap<>();
   private final List<PlannedMove> moves = new ArrayList<>();
-  private int loadsLeft;
+  private int remainingLoads;
 
   PlacementDraft(PlacementInput input) {
     this.input = input;
@@ -34,7 +34,7 @@
             .filter(entry -> entry.state() == LedgerState.LOADING)
             .count();
     int slots = input.configuration().weightStore().concurrentLoads() - (int) loading;
-    loadsLeft = Math.max(0, Math.min(input.loadAllowance(), slots));
+    remainingLoads = Math.max(0, Math.min(input.loadAllowance(), slots));
   }
 
   PlacementInput input() {
@@ -46,7 +46,7 @@
   }
 
   boolean mayLoad() {
-    return loadsLeft > 0;
+    return remainingLoads > 0;
   }
 
   List<RunnerView> availableRunners() {
@@ -73,12 +73,12 @@
     return runnersWith(version, List.of(LedgerState.SERVING));
   }
 
-  /** Returns the available runners where the version serves or will serve. */
+  /** Returns the available runners where the version is loading or serving. */
   List<RunnerView> current(VersionId version) {
     return runnersWith(version, List.of(LedgerState.LOADING, LedgerState.SERVING));
   }
 
-  /** Returns the memory that may be reserved on a runner, also by what the engine itself says. */
+  /** Returns the memory that may be reserved on a runner, also limited by the engine's report. */
   long freeMegabytes(RunnerView view) {
     long reserved = ledger(view).reservedMegabytes();
     long reported =
@@ -89,7 +89,7 @@
     return Math.min(ledger(view).memoryMegabytes(), reported) - reserved;
   }
 
-  /** Returns whether the version may be loaded on a runner that has no entry for it. */
+  /** Returns whether the version may be loaded on a runner where it is not. */
   boolean fits(RunnerView view, VersionId version, ReplicaSize size) {
     boolean lateUnloadMayArrive =
         !view.upstream().checksFencingTokens() && ledger(view).entry(version).isPresent();
@@ -100,7 +100,7 @@
             <= freeMegabytes(view);
   }
 
-  /** Takes the move if it fits; returns whether it was taken. */
+  /** Adds the move if it fits; returns whether it was added. */
   boolean tryMove(MoveKind kind, RunnerView view, VersionId version, String reason) {
     ReplicaSize size = ReplicaSize.of(input.configuration(), version);
     if (kind == MoveKind.LOAD && (!mayLoad() || !fits(view, version, size))) {
@@ -110,7 +110,7 @@
     ledgers.put(view.upstream().name(), move.applyTo(ledger(view), size));
     moves.add(move);
     if (kind == MoveKind.LOAD) {
-      loadsLeft--;
+      remainingLoads--;
     }
     return true;
   }
--- a/placement/src/main/java/org/agatefield/placement/PlacementInput.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementInput.java
@@ -5,13 +5,13 @@
 import org.agatefield.model.DemandSample;
 
 /**
- * Everything that a placement is decided on. Immutable as long as nobody changes {@code ages}.
+ * The input of a placement policy. Immutable as long as {@code ages} is not changed.
  *
  * @param configuration the configuration in force
  * @param runners every configured model runner
  * @param demand one sample for each deployment and region with recent demand
- * @param ages how long each ledger entry has been seen as it is
- * @param loadAllowance loads that the weight store's rate allows to start now
+ * @param ages how long each ledger entry has been unchanged
+ * @param loadAllowance loads that may start now within the weight store's rate limit
  * @param nowNanoseconds monotonic time
  */
 public record PlacementInput(
--- a/placement/src/main/java/org/agatefield/placement/PlacementPlanner.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementPlanner.java
@@ -4,27 +4,26 @@
 import java.util.List;
 
 /**
- * Decides the moves of one round: what becomes of draining replicas, then what a policy asks for.
- *
- * <p>Not safe for use by several threads.
+ * Plans the moves of one round: those of draining replicas first, then those of the policy. Not
+ * thread-safe.
  */
 public final class PlacementPlanner {
   private final PlacementPolicy policy;
-  private final DrainPolicy drainRules;
+  private final DrainPolicy drainPolicy;
 
-  /** Creates a planner. */
-  public PlacementPlanner(PlacementPolicy policy, DrainPolicy drainRules) {
+  /** Creates a planner that applies the drain policy before the placement policy. */
+  public PlacementPlanner(PlacementPolicy policy, DrainPolicy drainPolicy) {
     this.policy = policy;
-    this.drainRules = drainRules;
+    this.drainPolicy = drainPolicy;
   }
 
   /**
-   * Returns the moves to begin now, at most one for each entry of a ledger. Each fits the ledgers
-   * of the input after the moves before it.
+   * Returns the moves to start now, at most one for each ledger entry. Each fits the ledgers of the
+   * input as changed by the moves before it.
    */
   public List<PlannedMove> plan(PlacementInput input) {
     PlacementDraft draft = new PlacementDraft(input);
-    drainRules.apply(draft);
+    drainPolicy.apply(draft);
     List<PlannedMove> moves = new ArrayList<>(draft.moves());
     if (moves.isEmpty()) {
       moves.addAll(policy.plan(input));
--- a/placement/src/main/java/org/agatefield/placement/PlacementPolicy.java
+++ b/placement/src/main/java/org/agatefield/placement/PlacementPolicy.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** Decides which versions lie on which runners. Not safe for use by several threads. */
+/** Decides which runners hold which versions. Implementations are not thread-safe. */
 public interface PlacementPolicy {
-  /** Returns the loads, drains and reservations to begin now, most urgent first. */
+  /** Returns the loads, drains and reservations to start now, most urgent first. */
   List<PlannedMove> plan(PlacementInput input);
 }
--- a/placement/src/main/java/org/agatefield/placement/ReconciliationStep.java
+++ b/placement/src/main/java/org/agatefield/placement/ReconciliationStep.java
@@ -3,13 +3,12 @@
 import java.util.Optional;
 
 /**
- * The next thing to do for a runner: first write the ledger if it changed, then send the order.
- * Immutable.
+ * The next step for a runner: store the ledger if it changed, then send the order. Immutable.
  *
- * @param ledger the ledger as it must stand in the store before the order is sent
+ * @param ledger the ledger that must be stored before the order is sent
  * @param order the order, if there is one
- * @param releasesMemory whether the ledger gives memory back
- * @param reason why, for the log
+ * @param releasesMemory whether the ledger releases memory
+ * @param reason the reason, for the log
  */
 public record ReconciliationStep(
     RunnerLedger ledger, Optional<PlannedOrder> order, boolean releasesMemory, String reason) {
--- a/placement/src/main/java/org/agatefield/placement/ReplicaPolicy.java
+++ b/placement/src/main/java/org/agatefield/placement/ReplicaPolicy.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decides which replicas to make. Implementations are confined to one thread. */
+/** Decides which replicas to add. Implementations are confined to one thread. */
 public interface ReplicaPolicy {
   /**
    * Returns moves, the most useful first, at most one for each runner.
    *
-   * @param storeLoads how many loads from the weight store may begin now
+   * @param storeLoads loads from the weight store that may start now
    */
   List<ReplicaMove> plan(
       List<EngineView> engines,
--- a/placement/src/main/java/org/agatefield/placement/ReplicaSize.java
+++ b/placement/src/main/java/org/agatefield/placement/ReplicaSize.java
@@ -8,7 +8,7 @@
 import org.agatefield.model.VersionId;
 
 /**
- * The memory that a replica of a version takes. Immutable.
+ * The memory that one replica of a version needs. Immutable.
  *
  * @param memoryMegabytes memory of the version alone
  * @param adapters all adapters of its deployment
@@ -19,7 +19,7 @@
     adapters = List.copyOf(adapters);
   }
 
-  /** Returns the size of a version as configured; that of an unknown version is 0. */
+  /** Returns the configured size of a version; 0 if the version is unknown. */
   public static ReplicaSize of(ConfigurationDocument configuration, VersionId version) {
     long megabytes =
         configuration.deployment(version.deployment()).stream()
--- a/placement/src/main/java/org/agatefield/placement/ResidentReplicas.java
+++ b/placement/src/main/java/org/agatefield/placement/ResidentReplicas.java
@@ -11,12 +11,13 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Keeps every wanted version on its minimum number of runners, and nothing that is not wanted.
+ * Plans the moves that keep every configured version on its minimum number of runners and remove
+ * versions that are no longer configured.
  *
- * <p>What is missing is loaded where it fits, else room is made: replicas beyond the minimum are
- * drained, else a version is loaded on another runner first so that its replica here becomes one
- * too many. Never drains the last serving replica of a wanted version or of a deployment. Used by
- * one thread for one decision.
+ * <p>A missing replica is loaded where it fits. If it fits nowhere, replicas beyond the minimum are
+ * drained; if there are none, a version is first loaded on another runner so that its replica here
+ * exceeds the minimum. The last serving replica of a configured version or of a deployment is never
+ * drained. Confined to one thread and one plan.
  */
 final class ResidentReplicas {
   private final PlacementDraft draft;
@@ -29,24 +30,24 @@
     wanted.forEach(each -> byVersion.put(each.version(), each));
   }
 
-  /** Adds to the draft what is missing and what is not wanted; returns whether all is resident. */
+  /** Adds the moves to the draft; returns whether every version has its minimum of replicas. */
   boolean apply() {
     boolean complete = true;
     for (DesiredVersion version : wanted) {
-      complete &= ensure(version);
+      complete &= loadMissing(version);
     }
     wanted.forEach(this::reserveAdapters);
     drainUnwanted();
     return complete;
   }
 
-  private boolean ensure(DesiredVersion version) {
+  private boolean loadMissing(DesiredVersion version) {
     int missing = version.minimumReplicas() - draft.current(version.version()).size();
     missing -= resumeServing(version, missing);
     while (missing > 0) {
       Optional<RunnerView> runner = bestRunner(draft, version);
       if (runner.isEmpty()) {
-        makeRoom(version);
+        freeMemory(version);
         return false;
       }
       if (!draft.tryMove(MoveKind.LOAD, runner.get(), version.version(), "below the minimum")) {
@@ -68,7 +69,10 @@
     return returned;
   }
 
-  /** Returns where a further replica fits best: another region, another failure domain, free. */
+  /**
+   * Returns the runner that fits a further replica best: one in another region first, then one in
+   * another failure domain, then the one with the most free memory.
+   */
   static Optional<RunnerView> bestRunner(PlacementDraft draft, DesiredVersion version) {
     Set<FailureDomain> domains = new HashSet<>();
     Set<String> regions = new HashSet<>();
@@ -103,7 +107,7 @@
       if (grown - entry.replicaMegabytes() <= draft.freeMegabytes(view)) {
         draft.tryMove(MoveKind.RESERVE_ADAPTERS, view, version.version(), "new adapters");
       } else {
-        makeRoomOn(view, grown - entry.replicaMegabytes(), version.version());
+        freeMemoryOn(view, grown - entry.replicaMegabytes(), version.version());
       }
     }
   }
@@ -124,7 +128,7 @@
     }
   }
 
-  /** Returns whether one serving replica of the version may go without harm. */
+  /** Returns whether one serving replica of the version may be drained. */
   private boolean mayDrain(VersionId version) {
     DesiredVersion known = byVersion.get(version);
     if (known != null) {
@@ -135,24 +139,24 @@
         .noneMatch(each -> draft.serving(each.version()).isEmpty());
   }
 
-  private void makeRoom(DesiredVersion version) {
-    boolean underWay =
+  private void freeMemory(DesiredVersion version) {
+    boolean alreadyPlanned =
         draft.availableRunners().stream()
             .filter(view -> draft.entry(view, version.version()).isEmpty())
             .anyMatch(view -> freeLater(view) >= version.size().totalMegabytes());
-    if (underWay) {
+    if (alreadyPlanned) {
       return;
     }
     for (RunnerView view : draft.availableRunners()) {
       if (draft.entry(view, version.version()).isEmpty()
-          && makeRoomOn(view, version.size().totalMegabytes(), version.version())) {
+          && freeMemoryOn(view, version.size().totalMegabytes(), version.version())) {
         return;
       }
     }
-    relocateForRoom(version);
+    relocateToFreeMemory(version);
   }
 
-  /** Returns the memory that is free once every replica that is leaving has gone. */
+  /** Returns the memory that is free once every draining and unloading replica is unloaded. */
   private long freeLater(RunnerView view) {
     return draft.freeMegabytes(view)
         + draft.ledger(view).entries().stream()
@@ -161,7 +165,7 @@
             .sum();
   }
 
-  private boolean makeRoomOn(RunnerView view, long megabytes, VersionId beneficiary) {
+  private boolean freeMemoryOn(RunnerView view, long megabytes, VersionId beneficiary) {
     long missing = megabytes - freeLater(view);
     if (missing <= 0) {
       return true;
@@ -185,7 +189,7 @@
     return true;
   }
 
-  private void relocateForRoom(DesiredVersion version) {
+  private void relocateToFreeMemory(DesiredVersion version) {
     for (RunnerView view : draft.availableRunners()) {
       if (draft.entry(view, version.version()).isPresent()) {
         continue;
--- a/placement/src/main/java/org/agatefield/placement/RunnerLedger.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerLedger.java
@@ -5,19 +5,19 @@
 import org.agatefield.model.VersionId;
 
 /**
- * The memory ledger of one model runner: everything that its engine holds or may yet load by an
- * order that was ever sent. Immutable; changed by {@link LedgerTransitions} alone.
+ * The memory ledger of one model runner: everything that its engine holds or may still load because
+ * of an order that was sent. Immutable; changed only through {@link LedgerTransitions}.
  *
- * <p>Invariants, from one accepted ledger to the next: the reserved memory is at most {@code
- * memoryMegabytes} unless the operators lowered that; {@code plannerToken} and {@code highestToken}
- * never fall.
+ * <p>Invariants from one stored ledger to the next: the reserved memory is at most {@code
+ * memoryMegabytes}, unless operators lowered that; {@code plannerToken} and {@code highestToken}
+ * never decrease.
  *
  * @param upstream the runner's name
  * @param memoryMegabytes accelerator memory that may be reserved
- * @param plannerToken the fencing token of the planner's lease under which it was written last
+ * @param plannerToken the fencing token of the lease of the planner that last wrote it
  * @param highestToken the highest fencing token of any order to the runner
- * @param bootIdentifier the start of the engine that the entries speak of; empty before the first
- * @param entries one for each version that is or may be there
+ * @param bootIdentifier the engine start that the entries refer to; empty before the first
+ * @param entries one for each version that the engine holds or may hold
  */
 public record RunnerLedger(
     String upstream,
@@ -31,17 +31,17 @@
     entries = List.copyOf(entries);
   }
 
-  /** Returns the ledger of a runner that no order was ever sent to. */
+  /** Returns the ledger of a runner to which no order was ever sent. */
   public static RunnerLedger empty(String upstream, long memoryMegabytes) {
     return new RunnerLedger(upstream, memoryMegabytes, 0, 0, "", List.of());
   }
 
-  /** Returns the memory that is reserved. */
+  /** Returns the memory reserved by all entries. */
   public long reservedMegabytes() {
     return entries.stream().mapToLong(LedgerEntry::reservedMegabytes).sum();
   }
 
-  /** Returns the memory that may still be reserved; negative if the runner was made smaller. */
+  /** Returns the memory that may still be reserved; negative if operators lowered the memory. */
   public long freeMegabytes() {
     return memoryMegabytes - reservedMegabytes();
   }
--- a/placement/src/main/java/org/agatefield/placement/RunnerObservation.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerObservation.java
@@ -3,9 +3,9 @@
 import org.agatefield.model.LoadReport;
 
 /**
- * A load report with the time at which it was asked for. Immutable.
+ * A load report with the time at which it was requested. Immutable.
  *
- * @param report what the engine said
+ * @param report the engine's report
  * @param askedAtNanoseconds the planner's monotonic time before the request was sent
  */
 public record RunnerObservation(LoadReport report, long askedAtNanoseconds) {}
--- a/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerReconciler.java
@@ -7,30 +7,32 @@
 import org.agatefield.model.VersionId;
 
 /**
- * Brings a runner to what its ledger says, one step at a time, and releases memory on evidence.
+ * Reconciles a runner with its ledger, one step at a time, and releases memory only on proof.
  *
- * <p>Evidence that an engine no longer holds a version and never will by an earlier order, where
- * "unloaded" means that the engine answered to this planner that it carried out the last order to
- * unload the version (a report does not name what is still being loaded):
+ * <p>Either of the following proves that an engine no longer holds a version and that no earlier
+ * order can load it. "Unloaded" means that the engine confirmed the last unload order to this
+ * planner; a report is not enough, as it does not name versions that are still being loaded.
  *
  * <ul>
- *   <li>an engine that checks fencing tokens has unloaded the version and then reports it not held
- *       and a highest token that is at least that of the order, which is above those of all orders
- *       to load it;
- *   <li>an engine that ignores tokens has unloaded the version by an order sent after the planner
- *       had seen that order in the ledger for the whole quarantine, and then reports it not held.
+ *   <li>An engine that checks fencing tokens has unloaded the version. It then reports the version
+ *       not held and a highest token of at least that of the order, which is above the tokens of
+ *       all orders to load it.
+ *   <li>An engine that ignores tokens has unloaded the version by an order sent after the planner
+ *       had observed that order in the ledger for the whole quarantine. It then reports the version
+ *       not held.
  * </ul>
  *
- * <p>The report must have been asked for after the last order to the runner had ended. Immutable;
- * safe for use by any thread.
+ * <p>The report must have been requested after the last order to the runner ended. Immutable and
+ * thread-safe.
  *
- * @param quarantineNanoseconds how long an order may still take effect after it could last be sent
+ * @param quarantineNanoseconds how long an order may still take effect after the last moment at
+ *     which it could be sent
  */
 public record RunnerReconciler(long quarantineNanoseconds) {
   private static final char VERSION_SEPARATOR = '@';
 
-  /** What the steps are decided on. */
-  private record Scene(
+  /** The state of a runner from which its next step is decided. */
+  private record Snapshot(
       RunnerLedger ledger,
       RunnerObservation observation,
       boolean checksFencingTokens,
@@ -49,43 +51,44 @@
     }
   }
 
-  /** Returns the next step of a runner, if there is one to take. */
+  /** Returns the next step for a runner, if any. */
   public Optional<ReconciliationStep> next(
       RunnerLedger ledger,
       RunnerObservation observation,
       boolean checksFencingTokens,
       LedgerAges ages,
       long nowNanoseconds) {
-    Scene scene = new Scene(ledger, observation, checksFencingTokens, ages, nowNanoseconds);
-    return afterRestart(scene)
-        .or(() -> adoption(scene))
-        .or(() -> firstOf(scene, RunnerReconciler::recordLoaded))
-        .or(() -> firstOf(scene, this::finishUnloading))
-        .or(() -> firstOf(scene, RunnerReconciler::replaceLost))
-        .or(() -> firstOf(scene, this::unload))
-        .or(() -> firstOf(scene, RunnerReconciler::load))
-        .or(() -> firstOf(scene, this::forget));
-  }
-
-  /** Decides on one entry of a scene. */
+    Snapshot snapshot =
+        new Snapshot(ledger, observation, checksFencingTokens, ages, nowNanoseconds);
+    return afterRestart(snapshot)
+        .or(() -> adoptUnknownVersion(snapshot))
+        .or(() -> firstOf(snapshot, RunnerReconciler::recordLoaded))
+        .or(() -> firstOf(snapshot, this::finishUnloading))
+        .or(() -> firstOf(snapshot, RunnerReconciler::handleLost))
+        .or(() -> firstOf(snapshot, this::unload))
+        .or(() -> firstOf(snapshot, RunnerReconciler::load))
+        .or(() -> firstOf(snapshot, this::removeRetired));
+  }
+
+  /** Decides the step for one ledger entry. */
   private interface EntryRule {
-    Optional<ReconciliationStep> apply(Scene scene, LedgerEntry entry);
+    Optional<ReconciliationStep> apply(Snapshot snapshot, LedgerEntry entry);
   }
 
-  private static Optional<ReconciliationStep> firstOf(Scene scene, EntryRule rule) {
-    return scene.ledger().entries().stream()
-        .map(entry -> rule.apply(scene, entry))
+  private static Optional<ReconciliationStep> firstOf(Snapshot snapshot, EntryRule rule) {
+    return snapshot.ledger().entries().stream()
+        .map(entry -> rule.apply(snapshot, entry))
         .flatMap(Optional::stream)
         .findFirst();
   }
 
-  private static Optional<ReconciliationStep> afterRestart(Scene scene) {
-    RunnerLedger ledger = scene.ledger();
-    LoadReport report = scene.report();
+  private static Optional<ReconciliationStep> afterRestart(Snapshot snapshot) {
+    RunnerLedger ledger = snapshot.ledger();
+    LoadReport report = snapshot.report();
     if (report.bootIdentifier().equals(ledger.bootIdentifier())) {
       return Optional.empty();
     }
-    if (scene.checksFencingTokens() && report.highestFencingToken() < ledger.highestToken()) {
+    if (snapshot.checksFencingTokens() && report.highestFencingToken() < ledger.highestToken()) {
       PlannedOrder raise =
           new PlannedOrder(
               PlannedOrder.Action.RAISE_TOKEN, new VersionId("", ""), 0, ledger.highestToken());
@@ -95,36 +98,38 @@
     return Optional.of(ReconciliationStep.write(restarted, "engine restarted"));
   }
 
-  private static Optional<ReconciliationStep> adoption(Scene scene) {
-    for (String name : scene.report().versions().stream().filter(RunnerReconciler::isOurs).toList()) {
+  private static Optional<ReconciliationStep> adoptUnknownVersion(Snapshot snapshot) {
+    for (String name :
+        snapshot.report().versions().stream().filter(RunnerReconciler::isVersionName).toList()) {
       VersionId version = VersionId.parse(name);
-      if (!hasEntry(scene, version)) {
-        long unexplained = Math.max(0, scene.report().usedMegabytes() - heldMegabytes(scene));
-        RunnerLedger adopted = LedgerTransitions.adopt(scene.ledger(), version, unexplained);
-        return Optional.of(ReconciliationStep.write(adopted, version + " is held without an entry"));
+      if (!hasEntry(snapshot, version)) {
+        long unexplained = Math.max(0, snapshot.report().usedMegabytes() - heldMegabytes(snapshot));
+        RunnerLedger adopted = LedgerTransitions.adopt(snapshot.ledger(), version, unexplained);
+        return Optional.of(
+            ReconciliationStep.write(adopted, version + " is loaded without an entry"));
       }
     }
     return Optional.empty();
   }
 
-  private static boolean hasEntry(Scene scene, VersionId version) {
-    return scene
+  private static boolean hasEntry(Snapshot snapshot, VersionId version) {
+    return snapshot
         .ledger()
         .entry(version)
         .filter(each -> each.state() != LedgerState.RETIRED)
         .isPresent();
   }
 
-  private static boolean isOurs(String engineName) {
+  private static boolean isVersionName(String engineName) {
     int at = engineName.lastIndexOf(VERSION_SEPARATOR);
     return at > 0 && at < engineName.length() - 1;
   }
 
-  private static long heldMegabytes(Scene scene) {
-    List<String> adapters = scene.report().adapters();
+  private static long heldMegabytes(Snapshot snapshot) {
+    List<String> adapters = snapshot.report().adapters();
     long held = 0;
-    for (LedgerEntry entry : scene.ledger().entries()) {
-      if (entry.state() != LedgerState.RETIRED && scene.holds(entry.version())) {
+    for (LedgerEntry entry : snapshot.ledger().entries()) {
+      if (entry.state() != LedgerState.RETIRED && snapshot.holds(entry.version())) {
         held += entry.memoryMegabytes();
         held +=
             entry.adapters().stream()
@@ -136,88 +141,92 @@
     return held;
   }
 
-  private static Optional<ReconciliationStep> recordLoaded(Scene scene, LedgerEntry entry) {
-    if (entry.state() != LedgerState.LOADING || !scene.holds(entry.version())) {
+  private static Optional<ReconciliationStep> recordLoaded(Snapshot snapshot, LedgerEntry entry) {
+    if (entry.state() != LedgerState.LOADING || !snapshot.holds(entry.version())) {
       return Optional.empty();
     }
-    RunnerLedger loaded = LedgerTransitions.loaded(scene.ledger(), entry.version());
+    RunnerLedger loaded = LedgerTransitions.loaded(snapshot.ledger(), entry.version());
     return Optional.of(ReconciliationStep.write(loaded, entry.version() + " is loaded"));
   }
 
-  private Optional<ReconciliationStep> finishUnloading(Scene scene, LedgerEntry entry) {
-    if (entry.state() != LedgerState.UNLOADING || !isProvedGone(scene, entry)) {
+  private Optional<ReconciliationStep> finishUnloading(Snapshot snapshot, LedgerEntry entry) {
+    if (entry.state() != LedgerState.UNLOADING || !isProvedUnloaded(snapshot, entry)) {
       return Optional.empty();
     }
-    RunnerLedger released = LedgerTransitions.release(scene.ledger(), entry.version());
-    return Optional.of(ReconciliationStep.release(released, entry.version() + " is gone"));
+    RunnerLedger released = LedgerTransitions.release(snapshot.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.release(released, entry.version() + " is unloaded"));
   }
 
-  private boolean isProvedGone(Scene scene, LedgerEntry entry) {
-    String upstream = scene.ledger().upstream();
-    OptionalLong sentAt = scene.ages().unloadSentNanoseconds(upstream, entry);
-    if (scene.holds(entry.version()) || sentAt.isEmpty()) {
+  private boolean isProvedUnloaded(Snapshot snapshot, LedgerEntry entry) {
+    String upstream = snapshot.ledger().upstream();
+    OptionalLong sentAt = snapshot.ages().unloadSentNanoseconds(upstream, entry);
+    if (snapshot.holds(entry.version()) || sentAt.isEmpty()) {
       return false;
     }
-    if (scene.checksFencingTokens()) {
-      return scene.report().highestFencingToken() >= entry.orderToken();
+    if (snapshot.checksFencingTokens()) {
+      return snapshot.report().highestFencingToken() >= entry.orderToken();
     }
-    return sentAt.getAsLong() >= quarantineEndNanoseconds(scene, entry);
+    return sentAt.getAsLong() >= quarantineEndNanoseconds(snapshot, entry);
   }
 
-  private long quarantineEndNanoseconds(Scene scene, LedgerEntry entry) {
-    return scene
+  private long quarantineEndNanoseconds(Snapshot snapshot, LedgerEntry entry) {
+    return snapshot
             .ages()
-            .firstSeenNanoseconds(scene.ledger().upstream(), entry, scene.nowNanoseconds())
+            .firstSeenNanoseconds(snapshot.ledger().upstream(), entry, snapshot.nowNanoseconds())
         + quarantineNanoseconds;
   }
 
-  private static Optional<ReconciliationStep> replaceLost(Scene scene, LedgerEntry entry) {
-    if (!entry.isLoaded() || scene.holds(entry.version())) {
+  private static Optional<ReconciliationStep> handleLost(Snapshot snapshot, LedgerEntry entry) {
+    if (!entry.isLoaded() || snapshot.holds(entry.version())) {
       return Optional.empty();
     }
     if (entry.state() == LedgerState.DRAINING) {
-      RunnerLedger unloading = LedgerTransitions.unload(scene.ledger(), entry.version());
-      return Optional.of(ReconciliationStep.write(unloading, entry.version() + " was lost while drained"));
+      RunnerLedger unloading = LedgerTransitions.unload(snapshot.ledger(), entry.version());
+      return Optional.of(
+          ReconciliationStep.write(unloading, entry.version() + " was lost while draining"));
     }
-    RunnerLedger again = LedgerTransitions.renewLoadOrder(scene.ledger(), entry.version());
-    return Optional.of(ReconciliationStep.write(again, entry.version() + " was lost"));
+    RunnerLedger reloading = LedgerTransitions.renewLoadOrder(snapshot.ledger(), entry.version());
+    return Optional.of(ReconciliationStep.write(reloading, entry.version() + " was lost"));
   }
 
-  private Optional<ReconciliationStep> unload(Scene scene, LedgerEntry entry) {
-    if (entry.state() != LedgerState.UNLOADING || isWaiting(scene, entry)) {
+  private Optional<ReconciliationStep> unload(Snapshot snapshot, LedgerEntry entry) {
+    if (entry.state() != LedgerState.UNLOADING || isInQuarantine(snapshot, entry)) {
       return Optional.empty();
     }
-    RunnerLedger ledger = scene.ledger();
-    if (scene.refuses(entry.orderToken())) {
+    RunnerLedger ledger = snapshot.ledger();
+    if (snapshot.refuses(entry.orderToken())) {
       ledger = LedgerTransitions.unload(ledger, entry.version());
     }
     PlannedOrder order = order(PlannedOrder.Action.UNLOAD, ledger, entry.version());
-    return Optional.of(ReconciliationStep.order(ledger, order, entry.version() + " is to go"));
+    return Optional.of(
+        ReconciliationStep.order(ledger, order, entry.version() + " is to be unloaded"));
   }
 
-  /** Returns whether the version was unloaded once and only the quarantine is waited for. */
-  private boolean isWaiting(Scene scene, LedgerEntry entry) {
-    OptionalLong sentAt = scene.ages().unloadSentNanoseconds(scene.ledger().upstream(), entry);
-    return !scene.checksFencingTokens()
+  /** Returns whether the version was unloaded and only the quarantine has not ended yet. */
+  private boolean isInQuarantine(Snapshot snapshot, LedgerEntry entry) {
+    OptionalLong sentAt =
+        snapshot.ages().unloadSentNanoseconds(snapshot.ledger().upstream(), entry);
+    return !snapshot.checksFencingTokens()
         && sentAt.isPresent()
-        && !scene.holds(entry.version())
-        && scene.nowNanoseconds() < quarantineEndNanoseconds(scene, entry);
+        && !snapshot.holds(entry.version())
+        && snapshot.nowNanoseconds() < quarantineEndNanoseconds(snapshot, entry);
   }
 
-  private static Optional<ReconciliationStep> load(Scene scene, LedgerEntry entry) {
-    LoadReport report = scene.report();
-    long unexplained = Math.max(0, report.usedMegabytes() - heldMegabytes(scene));
-    long available = Math.min(report.memoryMegabytes(), scene.ledger().memoryMegabytes());
-    boolean fits = scene.ledger().reservedMegabytes() + unexplained <= available;
+  private static Optional<ReconciliationStep> load(Snapshot snapshot, LedgerEntry entry) {
+    LoadReport report = snapshot.report();
+    long unexplained = Math.max(0, report.usedMegabytes() - heldMegabytes(snapshot));
+    long available = Math.min(report.memoryMegabytes(), snapshot.ledger().memoryMegabytes());
+    boolean fits = snapshot.ledger().reservedMegabytes() + unexplained <= available;
     if (entry.state() != LedgerState.LOADING || !fits) {
       return Optional.empty();
     }
-    RunnerLedger ledger = scene.ledger();
-    if (scene.refuses(entry.orderToken())) {
+    RunnerLedger ledger = snapshot.ledger();
+    if (snapshot.refuses(entry.orderToken())) {
       ledger = LedgerTransitions.renewLoadOrder(ledger, entry.version());
     }
     PlannedOrder order = order(PlannedOrder.Action.LOAD, ledger, entry.version());
-    return Optional.of(ReconciliationStep.order(ledger, order, entry.version() + " is to be loaded"));
+    return Optional.of(
+        ReconciliationStep.order(ledger, order, entry.version() + " is to be loaded"));
   }
 
   private static PlannedOrder order(
@@ -226,13 +235,16 @@
     return new PlannedOrder(action, version, entry.memoryMegabytes(), entry.orderToken());
   }
 
-  private Optional<ReconciliationStep> forget(Scene scene, LedgerEntry entry) {
+  private Optional<ReconciliationStep> removeRetired(Snapshot snapshot, LedgerEntry entry) {
     long age =
-        scene.ages().ageNanoseconds(scene.ledger().upstream(), entry, scene.nowNanoseconds());
+        snapshot
+            .ages()
+            .ageNanoseconds(snapshot.ledger().upstream(), entry, snapshot.nowNanoseconds());
     if (entry.state() != LedgerState.RETIRED || age < quarantineNanoseconds) {
       return Optional.empty();
     }
-    RunnerLedger forgotten = LedgerTransitions.forget(scene.ledger(), entry.version());
-    return Optional.of(ReconciliationStep.write(forgotten, entry.version() + " is forgotten"));
+    RunnerLedger removed = LedgerTransitions.forget(snapshot.ledger(), entry.version());
+    return Optional.of(
+        ReconciliationStep.write(removed, entry.version() + " is removed from the ledger"));
   }
 }
--- a/placement/src/main/java/org/agatefield/placement/RunnerView.java
+++ b/placement/src/main/java/org/agatefield/placement/RunnerView.java
@@ -5,12 +5,12 @@
 import org.agatefield.model.Upstream;
 
 /**
- * A model runner as a placement policy sees it. Immutable.
+ * Describes a model runner to a placement policy. Immutable.
  *
  * @param upstream the runner as configured
- * @param ledger its ledger
- * @param report its last load report, if it answers
- * @param available whether it answers and is not leaving, so that its replicas count
+ * @param ledger its memory ledger
+ * @param report its last load report, if it responds
+ * @param available whether it responds and is not leaving, so that its replicas count
  */
 public record RunnerView(
     Upstream upstream, RunnerLedger ledger, Optional<LoadReport> report, boolean available) {}
--- a/placement/src/main/java/org/agatefield/placement/package-info.java
+++ b/placement/src/main/java/org/agatefield/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which versions lie on which runners, and keeps the memory ledgers; pure decisions. */
+/** Decides which runners hold which versions and computes the memory ledgers; does no I/O. */
 package org.agatefield.placement;
--- a/placement/src/test/java/org/agatefield/placement/DemandReplicaPolicyTest.java
+++ b/placement/src/test/java/org/agatefield/placement/DemandReplicaPolicyTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void modelWithMostOfTheDemandGetsSecondReplicaInPlaceOfAnIdleOne() {
+  void modelWithMostDemandGetsSecondReplicaInPlaceOfAnIdleModel() {
     List<EngineView> engines =
         List.of(
             engine("one", Set.of("a", "b"), Set.of()),
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void modelThatRequestsWaitForIsLoadedBeforeReplicasAreAdded() {
+  void modelWithWaitingRequestsIsLoadedBeforeReplicasAreAdded() {
     List<EngineView> engines =
         List.of(engine("one", Set.of("a"), Set.of()), engine("two", Set.of("b"), Set.of("c", "b")));
     Map<String, Demand> demands =
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void theLastStoreLoadIsKeptForModelWithoutReplica() {
+  void lastStoreLoadIsReservedForModelsWithoutReplica() {
     List<EngineView> engines =
         List.of(engine("one", Set.of("a"), Set.of()), engine("two", Set.of(), Set.of()));
     Map<String, Demand> demands = Map.of("a", demand(40_000, 0, 40, 10));
@@ -77,7 +77,7 @@
   }
 
   @Property(tries = 400, seed = "2026")
-  void memoryIsNeverOverfilledAndNoModelInUseLosesItsLastReplica(@ForAll long seed) {
+  void memoryIsNeverExceededAndNoModelInUseLosesItsLastReplica(@ForAll long seed) {
     Random random = new Random(seed);
     List<ModelProfile> models = new ArrayList<>();
     for (int index = 0; index < 12; index++) {
@@ -135,18 +135,18 @@
     int fromStore = 0;
     for (ReplicaMove move : moves) {
       assertTrue(moved.add(move.runner()), "two moves for one engine");
-      Set<String> models1 = held.get(move.runner());
+      Set<String> modelsOfEngine = held.get(move.runner());
       for (String victim : move.unload()) {
-        assertTrue(models1.remove(victim));
+        assertTrue(modelsOfEngine.remove(victim));
         Demand demand = demands.getOrDefault(victim, Demand.NONE);
         boolean inUse =
             demand.waiting() > 0 || demand.running() > 0 || demand.idleMilliseconds() < 1_000;
         boolean elsewhere = held.values().stream().anyMatch(each -> each.contains(victim));
-        assertTrue(elsewhere || !inUse, "last replica of " + victim + " given up");
+        assertTrue(elsewhere || !inUse, "last replica of " + victim + " unloaded");
       }
-      models1.add(move.load());
-      double used = models1.stream().mapToDouble(sizes::get).sum();
-      assertTrue(used + RESERVED <= CAPACITY, "engine overfilled: " + used);
+      modelsOfEngine.add(move.load());
+      double used = modelsOfEngine.stream().mapToDouble(sizes::get).sum();
+      assertTrue(used + RESERVED <= CAPACITY, "engine memory exceeded: " + used);
       fromStore += move.fromStore() ? 1 : 0;
     }
     assertTrue(fromStore <= 3, "more store loads than allowed");
--- a/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
+++ b/placement/src/test/java/org/agatefield/placement/LedgerSimulation.java
@@ -17,13 +17,13 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Planners, a store, engines and a network whose interleaving a seed decides.
+ * Simulates planners, a store, engines and a network; a seed determines their interleaving.
  *
- * <p>Orders are lost, doubled and delayed; answers are lost; planners are paused between any two
- * actions, also between the check of the lease and the send; the lease moves; engines restart;
- * adapters are loaded by instances that know old ledgers; configurations change. Towards an engine
- * that ignores tokens an order takes effect within the quarantine after the check of the lease;
- * towards one that checks them, at any time. Used from one thread.
+ * <p>Orders are lost, duplicated and delayed; responses are lost; planners are paused between any
+ * two actions, also between the check of the lease and the send; the lease changes its holder;
+ * engines restart; instances with outdated ledgers load adapters; configurations change. An engine
+ * that ignores tokens executes an order within the quarantine after the check of the lease; one
+ * that checks them, at any time. Confined to one thread.
  */
 final class LedgerSimulation {
   static final long QUARANTINE = 300;
@@ -33,17 +33,17 @@
   private static final int PLANNERS = 3;
   private static final int ACTIONS = 4_000;
 
-  /** An order on its way. */
+  /** An order in transit. */
   private record Message(
       SimulatedEngine engine,
       SimulatedPlanner from,
-      SimulatedPlanner.Work work,
+      SimulatedPlanner.PendingOrder pending,
       int boots,
       long earliest,
       long deadline) {}
 
-  /** What an instance once read of a ledger. */
-  private record OldView(RunnerLedger ledger, long readAt) {}
+  /** A ledger as an instance once read it. */
+  private record OutdatedView(RunnerLedger ledger, long readAt) {}
 
   private final UniformRandomProvider random;
   private final Set<Mechanism> off;
@@ -51,7 +51,7 @@
   private final List<SimulatedPlanner> planners = new ArrayList<>();
   private final Map<String, SimulatedPlanner.Copy> store = new HashMap<>();
   private final List<Message> network = new ArrayList<>();
-  private final Deque<OldView> views = new ArrayDeque<>();
+  private final Deque<OutdatedView> views = new ArrayDeque<>();
   private final Set<VersionId> resident = new HashSet<>();
   private final Set<VersionId> wanted = new HashSet<>();
   private final List<String> lost = new ArrayList<>();
@@ -74,17 +74,17 @@
     for (int i = 0; i < PLANNERS; i++) {
       planners.add(new SimulatedPlanner(i));
     }
-    planners.get(0).gain(leaseToken);
+    planners.get(0).acquireLease(leaseToken);
     changeConfiguration();
   }
 
-  /** Runs to the end and returns every overcommit. */
+  /** Runs all actions and returns this simulation. */
   LedgerSimulation run() {
     for (int i = 0; i < ACTIONS; i++) {
       now++;
       act(random.nextInt(1_000));
       deliverOverdue();
-      watchResidence();
+      checkResidence();
     }
     return this;
   }
@@ -105,7 +105,7 @@
     return releases;
   }
 
-  /** Returns how many orders to load arrived when the ledger no longer counted the version. */
+  /** Returns how many load orders arrived when the ledger no longer had an entry in use. */
   long lateLoads() {
     return lateLoads;
   }
@@ -121,13 +121,13 @@
     } else if (choice < 18 && engineFailures) {
       failEngine(engine);
     } else if (choice < 90) {
-      loadAdapterFromOldView();
+      loadAdapterFromOutdatedView();
     } else if (choice < 250) {
       observe(planner, engine);
     } else if (choice < 350) {
       decide(planner);
     } else if (choice < 800) {
-      work(planner, engine);
+      advance(planner, engine);
     } else {
       deliverAny();
     }
@@ -145,7 +145,7 @@
     holder = random.nextInt(PLANNERS);
     planners.get(holder).pausedUntil = 0;
     leaseToken++;
-    planners.get(holder).gain(leaseToken);
+    planners.get(holder).acquireLease(leaseToken);
   }
 
   private void failEngine(SimulatedEngine engine) {
@@ -158,10 +158,10 @@
     }
   }
 
-  /** An instance that is up to a quarantine behind loads an adapter. */
-  private void loadAdapterFromOldView() {
+  /** Loads an adapter by a ledger that is outdated by less than the quarantine. */
+  private void loadAdapterFromOutdatedView() {
     views.removeIf(each -> now - each.readAt() >= QUARANTINE);
-    List<OldView> known = List.copyOf(views);
+    List<OutdatedView> known = List.copyOf(views);
     if (known.isEmpty()) {
       return;
     }
@@ -207,13 +207,14 @@
             current.ledger().plannerToken() <= planner.token
                 && write(
                     planner,
-                    LedgerTransitions.takeOver(current.ledger(), engine.memoryMegabytes, planner.token));
+                    LedgerTransitions.takeOver(
+                        current.ledger(), engine.memoryMegabytes, planner.token));
       }
     }
     planner.takenOver = complete;
   }
 
-  /** A conditional update; its answer may be lost, and the ledger must then be read again. */
+  /** Updates a ledger conditionally; returns false if it conflicts or its response is lost. */
   private boolean write(SimulatedPlanner planner, RunnerLedger ledger) {
     SimulatedPlanner.Copy known = planner.table.get(ledger.upstream());
     long storeVersion =
@@ -229,7 +230,7 @@
     }
     SimulatedPlanner.Copy written = new SimulatedPlanner.Copy(ledger, storeVersion + 1);
     store.put(ledger.upstream(), written);
-    views.add(new OldView(ledger, now));
+    views.add(new OutdatedView(ledger, now));
     planner.table.put(ledger.upstream(), written);
     return random.nextInt(20) > 0;
   }
@@ -240,8 +241,8 @@
     planner.table.put(upstream, current);
   }
 
-  /** Takes the next small action of a planner for a runner. */
-  private void work(SimulatedPlanner planner, SimulatedEngine engine) {
+  /** Executes the next action of a planner for a runner. */
+  private void advance(SimulatedPlanner planner, SimulatedEngine engine) {
     if (planner.pausedUntil > now) {
       return;
     }
@@ -251,15 +252,15 @@
       }
       return;
     }
-    SimulatedPlanner.Work work = planner.works.get(engine.name);
-    if (work == null) {
+    SimulatedPlanner.PendingOrder pending = planner.pendingOrders.get(engine.name);
+    if (pending == null) {
       begin(planner, engine);
       return;
     }
-    switch (work.progress) {
-      case RESERVED -> check(planner, engine, work);
-      case CHECKED -> send(planner, engine, work);
-      case SENT -> giveUp(planner, engine, work);
+    switch (pending.progress) {
+      case RESERVED -> check(planner, engine, pending);
+      case CHECKED -> send(planner, engine, pending);
+      case SENT -> checkTimeout(planner, engine, pending);
       default -> throw new IllegalStateException();
     }
   }
@@ -271,7 +272,8 @@
     if (evidence.isEmpty()) {
       return;
     }
-    RunnerReconciler steps = new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
+    RunnerReconciler steps =
+        new RunnerReconciler(off.contains(Mechanism.QUARANTINE) ? 0 : QUARANTINE);
     Optional<ReconciliationStep> step =
         steps.next(ledger, evidence.get(), engine.checksFencingTokens, planner.ages, now);
     if (step.isEmpty()) {
@@ -279,14 +281,15 @@
     }
     releases += step.get().releasesMemory() ? 1 : 0;
     boolean unchanged = step.get().ledger().equals(ledger);
-    if (unchanged || write(planner, forgetful(step.get().ledger()))) {
+    if (unchanged || write(planner, withoutRetiredIfOff(step.get().ledger()))) {
       step.get()
           .order()
-          .ifPresent(order -> planner.works.put(engine.name, newWork(order, planner)));
+          .ifPresent(
+              order -> planner.pendingOrders.put(engine.name, newPendingOrder(order, planner)));
     }
   }
 
-  private RunnerLedger forgetful(RunnerLedger ledger) {
+  private RunnerLedger withoutRetiredIfOff(RunnerLedger ledger) {
     if (!off.contains(Mechanism.RETIRED_ADAPTERS)) {
       return ledger;
     }
@@ -301,42 +304,45 @@
         entries);
   }
 
-  private SimulatedPlanner.Work newWork(PlannedOrder order, SimulatedPlanner planner) {
-    return new SimulatedPlanner.Work(tokened(order), order.fencingToken(), planner.token);
+  private SimulatedPlanner.PendingOrder newPendingOrder(
+      PlannedOrder order, SimulatedPlanner planner) {
+    return new SimulatedPlanner.PendingOrder(withToken(order), order.fencingToken(), planner.token);
   }
 
-  private PlannedOrder tokened(PlannedOrder order) {
+  private PlannedOrder withToken(PlannedOrder order) {
     long token = off.contains(Mechanism.RISING_TOKENS) ? Long.MAX_VALUE : order.fencingToken();
     return new PlannedOrder(order.action(), order.version(), order.memoryMegabytes(), token);
   }
 
-  private void check(SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.Work work) {
-    if (!holdsLease(planner) || work.leaseToken != leaseToken) {
-      planner.works.remove(engine.name);
+  private void check(
+      SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.PendingOrder pending) {
+    if (!holdsLease(planner) || pending.leaseToken != leaseToken) {
+      planner.pendingOrders.remove(engine.name);
       return;
     }
-    work.progress = SimulatedPlanner.Progress.CHECKED;
-    work.checkedAt = now;
+    pending.progress = SimulatedPlanner.Progress.CHECKED;
+    pending.checkedAt = now;
   }
 
-  private void send(SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.Work work) {
-    work.progress = SimulatedPlanner.Progress.SENT;
-    work.sentAt = now;
-    if (!engine.checksFencingTokens && now - work.checkedAt >= QUARANTINE) {
+  private void send(
+      SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.PendingOrder pending) {
+    pending.progress = SimulatedPlanner.Progress.SENT;
+    pending.sentAt = now;
+    if (!engine.checksFencingTokens && now - pending.checkedAt >= QUARANTINE) {
       return;
     }
     int copies = random.nextInt(8) == 0 ? 0 : 1 + random.nextInt(2);
-    long deadline = engine.checksFencingTokens ? Long.MAX_VALUE : work.checkedAt + QUARANTINE;
+    long deadline = engine.checksFencingTokens ? Long.MAX_VALUE : pending.checkedAt + QUARANTINE;
     for (int i = 0; i < copies; i++) {
       long earliest = now + (random.nextInt(3) == 0 ? random.nextInt((int) QUARANTINE) : 0);
-      network.add(new Message(engine, planner, work, engine.boots(), earliest, deadline));
+      network.add(new Message(engine, planner, pending, engine.boots(), earliest, deadline));
     }
   }
 
-  private void giveUp(
-      SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.Work work) {
-    if (now - work.sentAt > ORDER_TIMEOUT) {
-      planner.works.remove(engine.name);
+  private void checkTimeout(
+      SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.PendingOrder pending) {
+    if (now - pending.sentAt > ORDER_TIMEOUT) {
+      planner.pendingOrders.remove(engine.name);
       planner.orderEnded.put(engine.name, now);
     }
   }
@@ -365,21 +371,21 @@
       return;
     }
     countLate(message);
-    boolean done = engine.carryOut(message.work().order, now);
+    boolean done = engine.execute(message.pending().order, now);
     boolean answered = random.nextInt(6) > 0;
     SimulatedPlanner planner = message.from();
-    if (answered && planner.works.get(engine.name) == message.work()) {
-      planner.works.remove(engine.name);
-      message.work().afterwards.ifPresent(ledger -> write(planner, ledger));
+    if (answered && planner.pendingOrders.get(engine.name) == message.pending()) {
+      planner.pendingOrders.remove(engine.name);
+      message.pending().afterwards.ifPresent(ledger -> write(planner, ledger));
       planner.orderEnded.put(engine.name, now);
       if (done) {
-        recordUnload(planner, engine, message.work());
+        recordUnload(planner, engine, message.pending());
       }
     }
   }
 
   private void countLate(Message message) {
-    PlannedOrder order = message.work().order;
+    PlannedOrder order = message.pending().order;
     boolean counted =
         store
             .get(message.engine().name)
@@ -393,17 +399,18 @@
   }
 
   private static void recordUnload(
-      SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.Work work) {
-    if (work.order.action() == PlannedOrder.Action.UNLOAD) {
-      planner.ages.recordUnload(engine.name, work.order.version(), work.entryToken, work.sentAt);
+      SimulatedPlanner planner, SimulatedEngine engine, SimulatedPlanner.PendingOrder pending) {
+    if (pending.order.action() == PlannedOrder.Action.UNLOAD) {
+      planner.ages.recordUnload(
+          engine.name, pending.order.version(), pending.entryToken, pending.sentAt);
     }
   }
 
   private void decide(SimulatedPlanner planner) {
-    boolean heardOfAll =
+    boolean allObserved =
         engines.stream()
             .allMatch(each -> !each.isUp() || planner.observations.containsKey(each.name));
-    if (!planner.takenOver || !heardOfAll || planner.pausedUntil > now) {
+    if (!planner.takenOver || !allObserved || planner.pausedUntil > now) {
       return;
     }
     List<RunnerView> views = engines.stream().map(each -> view(planner, each)).toList();
@@ -414,7 +421,8 @@
             new GainPlacement(new GainSettings(5, 0.001, 2)), new DrainPolicy(2, 10));
     Set<String> changed = new HashSet<>();
     for (PlannedMove move : policy.plan(input)) {
-      boolean free = !planner.works.containsKey(move.upstream()) && changed.add(move.upstream());
+      boolean free =
+          !planner.pendingOrders.containsKey(move.upstream()) && changed.add(move.upstream());
       if (free) {
         apply(planner, move);
       }
@@ -444,9 +452,9 @@
               move.version(),
               entry.memoryMegabytes(),
               entry.orderToken());
-      SimulatedPlanner.Work unreserved = newWork(order, planner);
+      SimulatedPlanner.PendingOrder unreserved = newPendingOrder(order, planner);
       unreserved.afterwards = Optional.of(after);
-      planner.works.put(move.upstream(), unreserved);
+      planner.pendingOrders.put(move.upstream(), unreserved);
       moves++;
       return;
     }
@@ -455,8 +463,8 @@
     }
   }
 
-  /** Notes each wanted version that served once and is now nowhere. */
-  private void watchResidence() {
+  /** Records each configured version that served once and now serves on no engine. */
+  private void checkResidence() {
     for (VersionId version : wanted) {
       boolean serves = engines.stream().anyMatch(each -> each.isUp() && serves(each, version));
       if (serves) {
--- a/placement/src/test/java/org/agatefield/placement/LedgerSimulationTest.java
+++ b/placement/src/test/java/org/agatefield/placement/LedgerSimulationTest.java
@@ -16,7 +16,7 @@
 /** Requirement REQ-MEMORY: accelerator memory is never overcommitted, even during a change. */
 class LedgerSimulationTest {
   private static final int SEEDS = 30;
-  private static final int SEEDS_WITHOUT = 150;
+  private static final int SEEDS_PER_MECHANISM = 150;
 
   @Property(tries = 200, seed = "42")
   void memoryIsNeverOvercommittedWhileEnginesRestart(@ForAll long seed) {
@@ -24,14 +24,14 @@
   }
 
   @Property(tries = 200, seed = "43")
-  void deployedVersionsThatServeOnceServeAlwaysUnlessEnginesFail(@ForAll long seed) {
+  void configuredVersionThatServedOnceAlwaysServesUnlessEnginesFail(@ForAll long seed) {
     LedgerSimulation run = new LedgerSimulation(seed, Set.of(), false).run();
     assertEquals(List.of(), run.overcommits());
     assertEquals(List.of(), run.lostVersions());
   }
 
   @Test
-  void simulationsMoveReleaseAndMeetLateOrders() {
+  void simulationsContainMovesReleasesAndLateOrders() {
     long moves = 0;
     long releases = 0;
     long lateLoads = 0;
@@ -46,10 +46,11 @@
 
   @ParameterizedTest
   @EnumSource(Mechanism.class)
-  void withoutAnyOneMechanismSomeRunFails(Mechanism mechanism) {
+  void switchingOffAnyOneMechanismMakesSomeRunFail(Mechanism mechanism) {
     boolean failed =
-        LongStream.range(0, SEEDS_WITHOUT).anyMatch(seed -> fails(seed, EnumSet.of(mechanism)));
-    assertTrue(failed, mechanism + " prevents nothing");
+        LongStream.range(0, SEEDS_PER_MECHANISM)
+            .anyMatch(seed -> fails(seed, EnumSet.of(mechanism)));
+    assertTrue(failed, mechanism + ": no run fails without it");
   }
 
   private static boolean fails(long seed, Set<Mechanism> off) {
--- a/placement/src/test/java/org/agatefield/placement/Mechanism.java
+++ b/placement/src/test/java/org/agatefield/placement/Mechanism.java
@@ -1,14 +1,14 @@
 package org.agatefield.placement;
 
-/** The mechanisms of the ledger that a test can switch off to see what they prevent. */
+/** Mechanisms of the ledger that a test can switch off to show that each is needed. */
 enum Mechanism {
   /** Memory is reserved in the store before an order is sent. */
   RESERVE_BEFORE_ORDER,
-  /** A version on an engine that ignores tokens stays counted for the quarantine. */
+  /** The memory of a version stays reserved for the quarantine if the engine ignores tokens. */
   QUARANTINE,
-  /** The memory of all adapters is reserved beside each replica. */
+  /** The memory of all adapters is reserved with each replica. */
   ADAPTERS_RESERVED,
-  /** A retired version keeps the adapters whose loads may still arrive. */
+  /** A retired entry retains the adapters for which load orders may still arrive. */
   RETIRED_ADAPTERS,
   /** A new planner writes its token into every ledger before it decides. */
   TAKEOVER_WRITES,
--- a/placement/src/test/java/org/agatefield/placement/PlacementPolicyTest.java
+++ b/placement/src/test/java/org/agatefield/placement/PlacementPolicyTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void replicasOfOneVersionLieInDifferentFailureDomains() {
+  void replicasOfOneVersionArePlacedInDifferentFailureDomains() {
     settle(configuration(2), List.of(), 10);
     for (int model = 0; model < MODELS; model++) {
       Set<String> domains = new HashSet<>();
@@ -55,14 +55,14 @@
   }
 
   @Test
-  void loadsStayWithinTheSlotsOfTheWeightStore() {
+  void loadsStayWithinTheConcurrentLoadsOfTheWeightStore() {
     ConfigurationDocument document = configuration(2);
     int loads = policy.plan(input(document, List.of(), 100, 0)).size();
     assertEquals(document.weightStore().concurrentLoads(), loads);
   }
 
   @Property(tries = 200, seed = "42")
-  void noiseAroundSteadyDemandMovesNothingAfterItHasSettled(@ForAll long seed) {
+  void noiseAroundSteadyDemandCausesNoMovesOncePlacementIsStable(@ForAll long seed) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     PlacementPolicyTest bench = new PlacementPolicyTest();
     ConfigurationDocument document = configuration(1);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void demandThatRisesTenfoldGetsFurtherReplicas() {
+  void tenfoldDemandGetsMoreReplicas() {
     ConfigurationDocument document = configuration(1);
     settle(document, steadyDemand(), 100);
     long before = replicas(0);
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Decides once and carries every move out at once. */
+  /** Plans once and executes every move immediately. */
   private void step(ConfigurationDocument document, List<DemandSample> demand, int round) {
     for (PlannedMove move : policy.plan(input(document, demand, 2, round * SECOND))) {
       for (int i = 0; i < RUNNERS; i++) {
@@ -112,13 +112,13 @@
 
   private static RunnerView afterMove(
       RunnerView view, PlannedMove move, ConfigurationDocument document) {
-    VersionState after =
-        new VersionState(move.applyTo(view.ledger(), ReplicaSize.of(document, move.version())));
+    MovedLedger after =
+        new MovedLedger(move.applyTo(view.ledger(), ReplicaSize.of(document, move.version())));
     return new RunnerView(view.upstream(), after.settled(move), view.report(), view.available());
   }
 
-  /** A ledger whose last move is carried out at once. */
-  private record VersionState(RunnerLedger ledger) {
+  /** A ledger whose last move is executed immediately. */
+  private record MovedLedger(RunnerLedger ledger) {
     RunnerLedger settled(PlannedMove move) {
       if (move.kind() == MoveKind.LOAD) {
         return LedgerTransitions.loaded(ledger, move.version());
@@ -127,7 +127,8 @@
         return ledger;
       }
       RunnerLedger released =
-          LedgerTransitions.release(LedgerTransitions.unload(ledger, move.version()), move.version());
+          LedgerTransitions.release(
+              LedgerTransitions.unload(ledger, move.version()), move.version());
       return LedgerTransitions.forget(released, move.version());
     }
   }
--- a/placement/src/test/java/org/agatefield/placement/ReplicaDraftTest.java
+++ b/placement/src/test/java/org/agatefield/placement/ReplicaDraftTest.java
@@ -31,7 +31,7 @@
     return models;
   }
 
-  /** Two big models on each engine, so that about every model has a replica. */
+  /** Returns engines with two models each, so that almost every model has a replica. */
   private static List<EngineView> engines(Map<Integer, Set<String>> onDisk) {
     List<EngineView> engines = new ArrayList<>();
     for (int index = 0; index < ENGINES; index++) {
@@ -60,15 +60,15 @@
   }
 
   @Test
-  void theBestMoveOfLargeFleetIsFoundByFewFullEvaluations() {
+  void bestMoveInLargeFleetNeedsFewFullEvaluations() {
     ReplicaDraft draft = new ReplicaDraft(engines(Map.of()), models(), skewedDemand(MODELS));
-    ReplicaDraft.Scored best = draft.best(20).orElseThrow();
+    ReplicaDraft.ScoredMove best = draft.best(20).orElseThrow();
     assertEquals("m0", best.move().load());
     assertTrue(draft.evaluations() <= FULL_EVALUATIONS, "evaluations " + draft.evaluations());
   }
 
   @Test
-  void modelThatLiesOnDiskOfBusyEngineIsLoadedThereAndNotFromTheStore() {
+  void modelOnDiskOfBusyEngineIsLoadedThereInsteadOfFromTheStore() {
     Map<String, Demand> demands = new HashMap<>();
     for (int index = 0; index < MODELS - 1; index++) {
       demands.put("m" + index, new Demand(2_000, 1, 0, 1, 100, Map.of()));
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void nothingIsEvaluatedWhileWorkIsEven() {
+  void nothingIsEvaluatedWhileLoadIsBalanced() {
     Map<String, Demand> demands = new HashMap<>();
     for (ModelProfile model : models()) {
       demands.put(model.name(), new Demand(10, 0.01, 0, 0, 100, Map.of()));
--- a/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
+++ b/placement/src/test/java/org/agatefield/placement/RunnerReconcilerTest.java
@@ -17,11 +17,14 @@
   private final LedgerAges ages = new LedgerAges();
   private final RunnerLedger loading =
       LedgerTransitions.reserve(
-          LedgerTransitions.restarted(RunnerLedger.empty("runner", 50), "boot"), VERSION, 20, List.of());
+          LedgerTransitions.restarted(RunnerLedger.empty("runner", 50), "boot"),
+          VERSION,
+          20,
+          List.of());
   private final RunnerLedger unloading = LedgerTransitions.unload(loading, VERSION);
 
   @Test
-  void memoryOfVersionsThatAreStillBeingLoadedIsNotReleasedOnReportsAlone() {
+  void memoryOfVersionThatIsStillLoadingIsNotReleasedOnReportAlone() {
     RunnerObservation reported = observed(20, List.of(), unloading.highestToken(), 10);
     ReconciliationStep step = next(unloading, reported, true, 10).orElseThrow();
     assertFalse(step.releasesMemory());
@@ -29,7 +32,7 @@
   }
 
   @Test
-  void memoryIsReleasedOnceTheEngineUnloadedAndSawTheToken() {
+  void memoryIsReleasedOnceTheEngineUnloadedAndReportsTheToken() {
     ages.observe(unloading, 1);
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     RunnerObservation reported = observed(0, List.of(), unloading.highestToken(), 10);
@@ -39,11 +42,12 @@
   }
 
   @Test
-  void enginesThatIgnoreTokensAreWaitedForAndAskedToUnloadAgainAfterTheQuarantine() {
+  void engineThatIgnoresTokensGetsSecondUnloadOrderAfterTheQuarantine() {
     ages.observe(unloading, 1);
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 5);
     assertEquals(Optional.empty(), next(unloading, observed(0, List.of(), 0, 90), false, 90));
-    ReconciliationStep again = next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
+    ReconciliationStep again =
+        next(unloading, observed(0, List.of(), 0, 102), false, 102).orElseThrow();
     assertEquals(PlannedOrder.Action.UNLOAD, again.order().orElseThrow().action());
     ages.recordUnload("runner", VERSION, unloading.highestToken(), 103);
     assertEquals(
@@ -52,7 +56,7 @@
   }
 
   @Test
-  void nothingIsLoadedBesideMemoryThatTheLedgerDoesNotExplain() {
+  void nothingIsLoadedWhileUnexplainedMemoryLeavesTooLittleSpace() {
     assertEquals(Optional.empty(), next(loading, observed(31, List.of(), 0, 10), true, 10));
     assertEquals(
         PlannedOrder.Action.LOAD,
@@ -63,9 +67,10 @@
   }
 
   @Test
-  void enginesThatRestartedAreFirstMadeToRefuseEarlierOrders() {
+  void restartedEngineIsFirstOrderedToRefuseEarlierOrders() {
     LoadReport report = new LoadReport("boot-2", 50, 0, 0, 0, List.of(), List.of(), 0);
-    ReconciliationStep step = next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
+    ReconciliationStep step =
+        next(loading, new RunnerObservation(report, 10), true, 10).orElseThrow();
     assertEquals(
         new PlannedOrder(
             PlannedOrder.Action.RAISE_TOKEN, new VersionId("", ""), 0, loading.highestToken()),
@@ -73,7 +78,7 @@
   }
 
   @Test
-  void versionsThatAnEngineHoldsWithoutAnEntryAreCounted() {
+  void versionLoadedWithoutAnEntryGetsOne() {
     RunnerObservation reported = observed(20, List.of("m@v0"), 0, 10);
     RunnerLedger adopted = next(loading, reported, true, 10).orElseThrow().ledger();
     LedgerEntry entry = adopted.entry(new VersionId("m", "v0")).orElseThrow();
--- a/placement/src/test/java/org/agatefield/placement/SimulatedEngine.java
+++ b/placement/src/test/java/org/agatefield/placement/SimulatedEngine.java
@@ -8,13 +8,13 @@
 import org.agatefield.model.VersionId;
 
 /**
- * An engine that does what it is told and counts its own memory; loads take a while and are
- * reported when they are done. Used from one thread.
+ * An engine that executes orders and records when its memory is overcommitted. Loads take {@link
+ * #LOAD_TICKS} and are reported when they are done. Confined to one thread.
  */
 final class SimulatedEngine {
   static final long LOAD_TICKS = 40;
 
-  /** Something loaded or being loaded. */
+  /** A version or adapter that is loaded or being loaded. */
   private record Held(long memoryMegabytes, long readyAt) {}
 
   final String name;
@@ -53,8 +53,8 @@
     boots++;
   }
 
-  /** Carries out an order; returns whether it did. */
-  boolean carryOut(PlannedOrder order, long now) {
+  /** Executes an order; returns false if its token is refused. */
+  boolean execute(PlannedOrder order, long now) {
     if (checksFencingTokens && order.fencingToken() < highestToken) {
       return false;
     }
@@ -62,7 +62,7 @@
     String version = order.version().engineName();
     if (order.action() == PlannedOrder.Action.LOAD) {
       versions.putIfAbsent(version, new Held(order.memoryMegabytes(), now + LOAD_TICKS));
-      count("load " + order);
+      checkMemory("load " + order);
     }
     if (order.action() == PlannedOrder.Action.UNLOAD) {
       versions.remove(version);
@@ -75,7 +75,7 @@
     if (up && holds(version, now)) {
       String key = version.engineName() + ":" + adapter.name();
       adapters.putIfAbsent(key, new Held(adapter.memoryMegabytes(), now + 1));
-      count("load adapter " + key);
+      checkMemory("load adapter " + key);
     }
   }
 
@@ -111,7 +111,7 @@
     return held.values().stream().mapToLong(Held::memoryMegabytes).sum();
   }
 
-  private void count(String cause) {
+  private void checkMemory(String cause) {
     if (usedMegabytes() > memoryMegabytes) {
       overcommits.add(name + " " + cause + " among " + versions.keySet() + adapters.keySet());
     }
--- a/placement/src/test/java/org/agatefield/placement/SimulatedPlanner.java
+++ b/placement/src/test/java/org/agatefield/placement/SimulatedPlanner.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What one planner process knows; it may be paused between any two of its actions. */
+/** The state of one planner process, which may be paused between any two of its actions. */
 final class SimulatedPlanner {
-  /** How far an order has come. */
+  /** Stages of an order. */
   enum Progress {
-    /** The ledger is written. */
+    /** The ledger is stored. */
     RESERVED,
-    /** The lease was found valid; nothing stands between the order and the connection. */
+    /** The lease was found valid; the order is sent without a further check. */
     CHECKED,
-    /** The order is on its way. */
+    /** The order is in transit. */
     SENT
   }
 
-  /** A runner's work that is under way; one at a time. */
-  static final class Work {
+  /** A runner's order that is being executed; at most one at a time. */
+  static final class PendingOrder {
     final PlannedOrder order;
     final long entryToken;
     final long leaseToken;
@@ -26,7 +26,7 @@
     long checkedAt;
     long sentAt;
 
-    Work(PlannedOrder order, long entryToken, long leaseToken) {
+    PendingOrder(PlannedOrder order, long entryToken, long leaseToken) {
       this.entryToken = entryToken;
       this.order = order;
       this.leaseToken = leaseToken;
@@ -38,7 +38,7 @@
 
   final int number;
   final Map<String, Copy> table = new HashMap<>();
-  final Map<String, Work> works = new HashMap<>();
+  final Map<String, PendingOrder> pendingOrders = new HashMap<>();
   final Map<String, RunnerObservation> observations = new HashMap<>();
   final Map<String, Long> orderEnded = new HashMap<>();
   LedgerAges ages = new LedgerAges();
@@ -50,7 +50,7 @@
     this.number = number;
   }
 
-  void gain(long newToken) {
+  void acquireLease(long newToken) {
     token = newToken;
     takenOver = false;
     table.clear();
--- a/placement/src/test/java/org/agatefield/placement/TestConfigurations.java
+++ b/placement/src/test/java/org/agatefield/placement/TestConfigurations.java
@@ -16,7 +16,7 @@
 import org.agatefield.model.WeightStoreLimits;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Random configurations whose versions fit the engines. Has no state. */
+/** Creates random configurations whose versions fit the engines. Stateless. */
 final class TestConfigurations {
   private static final int DEPLOYMENTS = 4;
 
--- a/routing/src/main/java/org/agatefield/routing/Choice.java
+++ b/routing/src/main/java/org/agatefield/routing/Choice.java
@@ -1,9 +1,9 @@
 package org.agatefield.routing;
 
 /**
- * The upstream that gets a request. Immutable.
+ * The upstream chosen for a request. Immutable.
  *
  * @param candidate the upstream
- * @param reason why, as {@code key=value} pairs for the log
+ * @param reason the reason, as {@code key=value} pairs for the log
  */
 public record Choice(Candidate candidate, String reason) {}
--- a/routing/src/main/java/org/agatefield/routing/CostModel.java
+++ b/routing/src/main/java/org/agatefield/routing/CostModel.java
@@ -1,12 +1,12 @@
 package org.agatefield.routing;
 
 /**
- * What the steps of a request are expected to cost. Immutable.
+ * The expected costs of the steps of a request. Immutable.
  *
- * @param prefillNanosecondsPerToken time to read one prompt token that is not cached
+ * @param prefillNanosecondsPerToken time to prefill one prompt token that is not cached
  * @param adapterLoadNanoseconds time to load an adapter
- * @param crossingNanoseconds latency added by the link between regions, both ways
- * @param crossingNanosecondsPerByte what a byte over the link is worth as time
+ * @param crossingNanoseconds latency added by the link between regions, for both directions
+ * @param crossingNanosecondsPerByte cost of a byte sent over the link, expressed as time
  */
 public record CostModel(
     long prefillNanosecondsPerToken,
--- a/routing/src/main/java/org/agatefield/routing/EligibleUpstreams.java
+++ b/routing/src/main/java/org/agatefield/routing/EligibleUpstreams.java
@@ -4,30 +4,31 @@
 import java.util.Set;
 
 /**
- * Narrows the holders of a version down to those that should get a request.
+ * Filters the upstreams that hold a version for those that should receive a request.
  *
- * <p>Invariant: never empty if there are holders; a draining one only if every holder is draining;
- * one that already failed the request only if no other is left. Confined to one thread at a time.
+ * <p>Invariant: the result is empty only if there are no holders; it contains draining upstreams
+ * only if every holder is draining, and upstreams that already failed the request only if no other
+ * is left. Not thread safe.
  */
 public final class EligibleUpstreams {
   private final OutlierDetector outliers;
 
-  /** Creates a filter that leaves out what {@code outliers} has ejected. */
+  /** Creates a filter that excludes the upstreams that {@code outliers} has ejected. */
   public EligibleUpstreams(OutlierDetector outliers) {
     this.outliers = outliers;
   }
 
   /**
-   * Returns the holders to choose from, with or without a place.
+   * Returns the holders to choose from, with or without free capacity.
    *
-   * @param failed names of upstreams that failed this request before
+   * @param failed names of upstreams that already failed this request
    */
   public List<Candidate> of(List<Candidate> holders, Set<String> failed, long nowNanoseconds) {
-    if (failed.isEmpty() && allOrdinary(holders, nowNanoseconds)) {
+    if (failed.isEmpty() && allUnrestricted(holders, nowNanoseconds)) {
       return holders;
     }
-    List<Candidate> staying = holders.stream().filter(each -> !each.draining()).toList();
-    List<Candidate> usable = staying.isEmpty() ? holders : staying;
+    List<Candidate> notDraining = holders.stream().filter(each -> !each.draining()).toList();
+    List<Candidate> usable = notDraining.isEmpty() ? holders : notDraining;
     List<Candidate> healthy = outliers.admitted(usable, Candidate::upstream, nowNanoseconds);
     List<Candidate> untried =
         healthy.stream().filter(each -> !failed.contains(each.upstream())).toList();
@@ -39,7 +40,7 @@
     return others.isEmpty() ? healthy : others;
   }
 
-  private boolean allOrdinary(List<Candidate> holders, long nowNanoseconds) {
+  private boolean allUnrestricted(List<Candidate> holders, long nowNanoseconds) {
     for (Candidate holder : holders) {
       if (holder.draining() || outliers.isEjected(holder.upstream(), nowNanoseconds)) {
         return false;
--- a/routing/src/main/java/org/agatefield/routing/ExpectedTimeChooser.java
+++ b/routing/src/main/java/org/agatefield/routing/ExpectedTimeChooser.java
@@ -5,17 +5,18 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Chooses the upstream with the least expected time: waiting behind what it has, reading the part
- * of the prompt that it has not cached, loading the adapter, crossing to another region.
+ * Chooses the upstream with the least expected time, the sum of waiting behind its outstanding
+ * requests, prefill of the part of the prompt that it has not cached, loading the adapter and
+ * crossing to another region.
  *
- * <p>Confined to one thread at a time.
+ * <p>Not thread safe.
  */
 public final class ExpectedTimeChooser implements UpstreamChooser {
   private final CostModel costs;
   private final PrefixTable prefixes;
   private final UniformRandomProvider random;
 
-  /** Creates a chooser; {@code random} decides between equals. */
+  /** Creates a chooser; {@code random} breaks ties. */
   public ExpectedTimeChooser(CostModel costs, PrefixTable prefixes, UniformRandomProvider random) {
     this.costs = costs;
     this.prefixes = prefixes;
@@ -27,14 +28,14 @@
       RoutingRequest request, List<Candidate> candidates, long nowNanoseconds) {
     Candidate best = null;
     Estimate bestEstimate = null;
-    int equals = 0;
+    int ties = 0;
     for (Candidate candidate : candidates) {
       Estimate estimate = estimate(request, candidate);
       if (best == null || estimate.total() < bestEstimate.total()) {
         best = candidate;
         bestEstimate = estimate;
-        equals = 1;
-      } else if (estimate.total() == bestEstimate.total() && random.nextInt(++equals) == 0) {
+        ties = 1;
+      } else if (estimate.total() == bestEstimate.total() && random.nextInt(++ties) == 0) {
         best = candidate;
         bestEstimate = estimate;
       }
--- a/routing/src/main/java/org/agatefield/routing/Hashing.java
+++ b/routing/src/main/java/org/agatefield/routing/Hashing.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Stable hashes, the same on every instance. Immutable. */
+/** Provides stable hashes that are the same on every instance. Stateless. */
 final class Hashing {
   private static final double TWO_TO_53 = 0x1.0p53;
 
@@ -13,7 +13,10 @@
     return MurmurHash3.hash128x64(text.getBytes(StandardCharsets.UTF_8))[0];
   }
 
-  /** Returns a number above 0 and below 1 that is spread evenly over hashes. */
+  /**
+   * Maps a hash to a number above 0 and below 1; evenly distributed hashes give evenly distributed
+   * numbers.
+   */
   static double unitInterval(long hash) {
     return ((hash >>> 11) + 0.5) / TWO_TO_53;
   }
--- a/routing/src/main/java/org/agatefield/routing/HomeInstances.java
+++ b/routing/src/main/java/org/agatefield/routing/HomeInstances.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * Maps models onto the entry instances that should see their requests, by rendezvous hashing.
+ * Maps models to their home instances, the entry instances that should receive their requests, by
+ * rendezvous hashing.
  *
- * <p>Invariant: an instance that comes or goes changes the homes only of the models that it is or
- * was a home of. Immutable; every instance with the same view gives the same answer.
+ * <p>Invariant: an instance that joins or leaves changes the homes only of the models that it is or
+ * was a home of. Immutable; instances with the same view compute the same homes.
  */
 public final class HomeInstances {
   private final double requestsPerSecondPerHome;
@@ -17,15 +18,15 @@
   /**
    * Creates the mapping.
    *
-   * @param requestsPerSecondPerHome demand that adds one home
-   * @param minimumHomes homes of a model without demand, 1 or more
+   * @param requestsPerSecondPerHome demand for which one home is added
+   * @param minimumHomes number of homes of a model without demand, 1 or more
    */
   public HomeInstances(double requestsPerSecondPerHome, int minimumHomes) {
     this.requestsPerSecondPerHome = requestsPerSecondPerHome;
     this.minimumHomes = minimumHomes;
   }
 
-  /** Returns how many homes a model with this demand has in a region. */
+  /** Returns the number of homes in a region of a model with the given demand. */
   public int homesFor(double requestsPerSecond) {
     double needed = Math.ceil(requestsPerSecond / requestsPerSecondPerHome);
     return (int) Math.max(minimumHomes, Math.min(needed, Integer.MAX_VALUE));
@@ -34,13 +35,13 @@
   /**
    * Returns the homes of a model, best first.
    *
-   * @param instances identifiers of the instances of one region that take new work
+   * @param instances identifiers of the instances of one region that accept new requests
    */
   public List<String> homes(String model, Collection<String> instances, int count) {
     return ranked(model, instances).stream().limit(count).toList();
   }
 
-  /** Returns all instances, those first that are homes of the model. */
+  /** Returns all instances in the order in which they become homes of the model. */
   public List<String> ranked(String model, Collection<String> instances) {
     record Scored(String instance, long score) {}
 
--- a/routing/src/main/java/org/agatefield/routing/LeastOutstandingChooser.java
+++ b/routing/src/main/java/org/agatefield/routing/LeastOutstandingChooser.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Chooses the upstream with the fewest requests: a baseline. Immutable. */
+/** Chooses the upstream with the fewest outstanding requests; used as a baseline. Immutable. */
 public final class LeastOutstandingChooser implements UpstreamChooser {
   @Override
   public Optional<Choice> choose(
--- a/routing/src/main/java/org/agatefield/routing/LoadSlowdown.java
+++ b/routing/src/main/java/org/agatefield/routing/LoadSlowdown.java
@@ -1,21 +1,21 @@
 package org.agatefield.routing;
 
 /**
- * Learns how much longer requests take on a full upstream than on one that is partly used.
+ * Estimates how much longer requests take on a fully loaded upstream than on a partly loaded one.
  *
- * <p>Engines that batch answer each request faster while they have few, so the time that a request
- * took says little about the share of the upstream that it needs, unless it is stretched to full
- * load. Confined to one thread at a time.
+ * <p>Engines that batch requests answer each of them faster while they have few. A measured time
+ * therefore indicates the share of the upstream that a request needs only after it is scaled to
+ * full load. Not thread safe.
  */
 public final class LoadSlowdown {
   private static final int BUCKETS = 8;
   private static final double SMOOTHING = 0.05;
-  private static final double MAXIMUM_STRETCH = 8;
+  private static final double MAXIMUM_FACTOR = 8;
 
   private final double[] timePerCost = new double[BUCKETS];
 
   /**
-   * Learns from an answered request.
+   * Records the service time of an answered request.
    *
    * @param usedShare requests at the upstream as a share of its limit
    */
@@ -27,15 +27,15 @@
   }
 
   /**
-   * Returns by what a time at {@code usedShare} is multiplied to be that at full load, 1 or more.
+   * Returns the factor that scales a time measured at {@code usedShare} to full load, 1 or more.
    */
   public double fullLoadFactor(double usedShare) {
-    double own = timePerCost[bucket(usedShare)];
-    double slowest = own;
+    double current = timePerCost[bucket(usedShare)];
+    double slowest = current;
     for (double time : timePerCost) {
       slowest = Math.max(slowest, time);
     }
-    return own == 0 ? 1 : Math.min(MAXIMUM_STRETCH, slowest / own);
+    return current == 0 ? 1 : Math.min(MAXIMUM_FACTOR, slowest / current);
   }
 
   private static int bucket(double usedShare) {
--- a/routing/src/main/java/org/agatefield/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/agatefield/routing/OutlierDetector.java
@@ -7,10 +7,10 @@
 import java.util.function.Function;
 
 /**
- * Keeps slow and failing upstreams from getting new requests for a while.
+ * Ejects slow and failing upstreams, which then receive no new requests for a limited time.
  *
- * <p>Invariant (the floor): of any candidates, at least half, and never fewer than one, remain.
- * Confined to one thread at a time.
+ * <p>Invariant (the floor): of any candidates, at least half, and never fewer than one, remain. Not
+ * thread safe.
  */
 public final class OutlierDetector {
   private static final int FAILURES_TO_EJECT = 3;
@@ -18,7 +18,7 @@
   private static final int MINIMUM_SAMPLES = 10;
   private static final double SMOOTHING = 0.2;
   private static final double SLOW_FACTOR = 4;
-  private static final long SLOW_FLOOR_NANOSECONDS = 500_000_000L;
+  private static final long MINIMUM_SLOW_NANOSECONDS = 500_000_000L;
 
   private final long baseEjectionNanoseconds;
   private final Map<String, Health> upstreams = new HashMap<>();
@@ -31,19 +31,22 @@
     private long ejectedUntil = Long.MIN_VALUE;
   }
 
-  /** Creates a detector that ejects for {@code baseEjectionNanoseconds} at first, then longer. */
+  /**
+   * Creates a detector; the first ejection of an upstream lasts {@code baseEjectionNanoseconds},
+   * repeated ones longer.
+   */
   public OutlierDetector(long baseEjectionNanoseconds) {
     this.baseEjectionNanoseconds = baseEjectionNanoseconds;
   }
 
-  /** Records a whole answer. */
+  /** Records a complete answer. */
   public void succeeded(String upstream) {
     Health health = health(upstream);
     health.consecutiveFailures = 0;
     health.ejections = Math.max(0, health.ejections - 1);
   }
 
-  /** Records a failed or unreachable attempt; returns whether the upstream is now ejected. */
+  /** Records a failed or unreachable attempt; returns whether this ejected the upstream. */
   public boolean failed(String upstream, long nowNanoseconds) {
     Health health = health(upstream);
     health.consecutiveFailures++;
@@ -54,19 +57,19 @@
     return true;
   }
 
-  /** Records that an upstream could not be connected to; it is ejected at once. */
+  /** Records that connecting to an upstream failed, and ejects it at once. */
   public void unreachable(String upstream, long nowNanoseconds) {
     eject(health(upstream), nowNanoseconds);
   }
 
-  /** Forgets an upstream that is gone or has started anew. */
+  /** Removes an upstream that has left or restarted. */
   public void forget(String upstream) {
     upstreams.remove(upstream);
   }
 
   /**
-   * Records how long an upstream took to the first part of an answer; returns whether it is now
-   * ejected because it is much slower than the median of the others.
+   * Records the time that an upstream took to send the first part of an answer; returns whether
+   * this ejected the upstream because it is much slower than the median of the others.
    */
   public boolean firstPartReceived(String upstream, long nanoseconds, long nowNanoseconds) {
     Health health = health(upstream);
@@ -77,7 +80,7 @@
       return false;
     }
     double median = medianOfOthers(upstream);
-    double threshold = Math.max(SLOW_FLOOR_NANOSECONDS, SLOW_FACTOR * median);
+    double threshold = Math.max(MINIMUM_SLOW_NANOSECONDS, SLOW_FACTOR * median);
     if (median == 0 || health.firstPartNanoseconds < threshold) {
       return false;
     }
@@ -91,14 +94,17 @@
     return health != null && nowNanoseconds < health.ejectedUntil;
   }
 
-  /** Returns the candidates that may be used, those ejected first to come back where needed. */
+  /**
+   * Returns the candidates that may be used. If fewer than the floor remain, ejected ones are
+   * added, those whose ejection ends earliest first.
+   */
   public <T> List<T> admitted(
       List<T> candidates, Function<T, String> upstreamName, long nowNanoseconds) {
     List<T> admitted = new ArrayList<>(candidates.size());
     List<T> ejected = new ArrayList<>();
     for (T candidate : candidates) {
-      boolean out = isEjected(upstreamName.apply(candidate), nowNanoseconds);
-      (out ? ejected : admitted).add(candidate);
+      boolean excluded = isEjected(upstreamName.apply(candidate), nowNanoseconds);
+      (excluded ? ejected : admitted).add(candidate);
     }
     int floor = (candidates.size() + 1) / 2;
     if (admitted.size() < floor) {
--- a/routing/src/main/java/org/agatefield/routing/PrefixTable.java
+++ b/routing/src/main/java/org/agatefield/routing/PrefixTable.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 
 /**
- * Which prompt prefixes each runner is believed to have cached, from what was sent to it and from
- * its cache events.
+ * Tracks which prompt prefixes each runner has probably cached, based on the requests sent to it
+ * and on its cache events.
  *
- * <p>Only a hint: events come late and with gaps, so an entry may be wrong either way. After a gap
- * in a runner's events, what was known of it before counts half until it is confirmed. Invariant:
- * at most the given number of prefixes is kept for each runner, the latest used ones. Confined to
- * one thread at a time.
+ * <p>The table is only a hint: events arrive late and with gaps, so an entry may be wrong in either
+ * direction. After a gap in a runner's events, its earlier entries count half until they are
+ * confirmed. Invariant: at most the given number of prefixes is stored per runner, the most
+ * recently used ones. Not thread safe.
  */
 public final class PrefixTable {
-  private static final double UNCERTAIN_WEIGHT = 0.5;
+  private static final double UNCONFIRMED_WEIGHT = 0.5;
 
   private final int prefixesPerRunner;
   private final Map<String, RunnerPrefixes> runners = new HashMap<>();
 
-  /** Creates an empty table. */
+  /** Creates an empty table for at most {@code prefixesPerRunner} prefixes per runner. */
   public PrefixTable(int prefixesPerRunner) {
     this.prefixesPerRunner = prefixesPerRunner;
   }
@@ -28,7 +28,7 @@
   /**
    * A change of a runner's prefix cache. Immutable.
    *
-   * @param sequence rises by 1 from event to event of one runner
+   * @param sequence increases by 1 from event to event of one runner
    * @param stored hashes that are now cached
    * @param evicted hashes that are no longer cached
    */
@@ -67,7 +67,7 @@
     runner(runner).store(prefixHashes);
   }
 
-  /** Takes in an event of a runner; one that is older than an earlier one is ignored. */
+  /** Applies an event of a runner; events that are older than the last applied one are ignored. */
   public void event(String runner, CacheEvent event) {
     RunnerPrefixes prefixes = runner(runner);
     if (event.sequence() <= prefixes.lastSequence) {
@@ -81,7 +81,7 @@
     prefixes.store(event.stored());
   }
 
-  /** Forgets a runner, which was started again or is gone. */
+  /** Removes a runner that has restarted or left. */
   public void forget(String runner) {
     runners.remove(runner);
   }
@@ -89,7 +89,7 @@
   /**
    * Returns the expected share of the prompt that the runner has cached, from 0 to 1.
    *
-   * @param prefixHashes growing prefixes, shortest first
+   * @param prefixHashes hashes of increasingly long prefixes, shortest first
    */
   public double cachedShare(String runner, List<Long> prefixHashes) {
     RunnerPrefixes prefixes = runners.get(runner);
@@ -99,7 +99,7 @@
     for (int position = prefixHashes.size() - 1; position >= 0; position--) {
       Integer epoch = prefixes.epochs.get(prefixHashes.get(position));
       if (epoch != null) {
-        double weight = epoch == prefixes.epoch ? 1 : UNCERTAIN_WEIGHT;
+        double weight = epoch == prefixes.epoch ? 1 : UNCONFIRMED_WEIGHT;
         return weight * (position + 1) / prefixHashes.size();
       }
     }
--- a/routing/src/main/java/org/agatefield/routing/RandomChooser.java
+++ b/routing/src/main/java/org/agatefield/routing/RandomChooser.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Chooses any upstream: a baseline. Confined to one thread at a time. */
+/** Chooses a random upstream; used as a baseline. Not thread safe. */
 public final class RandomChooser implements UpstreamChooser {
   private final UniformRandomProvider random;
 
--- a/routing/src/main/java/org/agatefield/routing/RoundRobinChooser.java
+++ b/routing/src/main/java/org/agatefield/routing/RoundRobinChooser.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Takes the upstreams in turn: a baseline. Confined to one thread at a time. */
+/** Chooses the upstreams in turn; used as a baseline. Not thread safe. */
 public final class RoundRobinChooser implements UpstreamChooser {
   private int turn;
 
--- a/routing/src/main/java/org/agatefield/routing/RoutingRequest.java
+++ b/routing/src/main/java/org/agatefield/routing/RoutingRequest.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * What routing needs to know of a request. Immutable.
+ * The properties of a request that routing depends on. Immutable.
  *
- * @param region the region of the instance that routes it
- * @param adapter the adapter that it needs; empty if none
+ * @param region the region of the instance that routes the request
+ * @param adapter the adapter that the request needs; empty if none
  * @param promptTokens estimated number of prompt tokens
- * @param linkBytes bytes that would cross the link between regions, both ways
- * @param prefixHashes hashes of the prompt's growing prefixes, shortest first
+ * @param linkBytes bytes that would be sent over the link between regions, in both directions
+ * @param prefixHashes hashes of increasingly long prefixes of the prompt, shortest first
  */
 public record RoutingRequest(
     String region,
--- a/routing/src/main/java/org/agatefield/routing/TwoChoicesChooser.java
+++ b/routing/src/main/java/org/agatefield/routing/TwoChoicesChooser.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Draws two upstreams and takes the less loaded: a baseline. Confined to one thread at a time. */
+/** Draws two upstreams and chooses the less loaded one; used as a baseline. Not thread safe. */
 public final class TwoChoicesChooser implements UpstreamChooser {
   private final UniformRandomProvider random;
 
--- a/routing/src/main/java/org/agatefield/routing/UpstreamLoad.java
+++ b/routing/src/main/java/org/agatefield/routing/UpstreamLoad.java
@@ -1,32 +1,33 @@
 package org.agatefield.routing;
 
 /**
- * How many requests an upstream has, from what this instance sent and from lagging reports.
+ * Estimates the number of requests at an upstream from the requests that this instance sent and
+ * from load reports that lag behind.
  *
- * <p>A report counts requests of all instances at an unknown time since about two reports ago. The
- * most that this instance had outstanding in that time is taken off it, so that its own requests,
- * already answered, are never taken for those of others; the rest is what others have, and what
- * this instance has now is added. What a report said of others counts half as much for each
- * half-life that passes without a new one, so that an upstream is not avoided for ever. Confined to
- * one thread at a time.
+ * <p>A report counts the requests of all instances at an unknown time since about two reports ago.
+ * The largest number of requests that this instance had outstanding in that time is subtracted, so
+ * that its own requests that were answered since are never counted as requests of others. The rest
+ * is attributed to other instances, and the current requests of this instance are added. The
+ * requests attributed to others count half as much for each half-life that passes without a new
+ * report, so that an upstream is not avoided forever. Not thread safe.
  */
 public final class UpstreamLoad {
   private static final double SMOOTHING = 0.1;
   private static final long HALF_LIFE_NANOSECONDS = 2_000_000_000L;
   private static final int MAXIMUM_HALVINGS = 30;
-  private static final long INITIAL_NANOSECONDS = 1_000_000_000L;
+  private static final long INITIAL_NANOSECONDS_PER_REQUEST = 1_000_000_000L;
 
   private int own;
-  private int mostOwnSinceReport;
-  private int mostOwnBeforeReport;
+  private int maximumOwnSinceReport;
+  private int maximumOwnBeforeReport;
   private int others;
   private long reportedAtNanoseconds;
-  private double nanosecondsPerRequest = INITIAL_NANOSECONDS;
+  private double nanosecondsPerRequest = INITIAL_NANOSECONDS_PER_REQUEST;
 
-  /** Records a request that was sent. */
+  /** Records that a request was sent. */
   public void sent() {
     own++;
-    mostOwnSinceReport = Math.max(mostOwnSinceReport, own);
+    maximumOwnSinceReport = Math.max(maximumOwnSinceReport, own);
   }
 
   /** Records that a request is no longer at the upstream. */
@@ -34,33 +35,33 @@
     own = Math.max(0, own - 1);
   }
 
-  /** Learns how long a request took that was answered whole. */
+  /** Records the service time of a request that was answered completely. */
   public void recordServiceTime(long nanoseconds) {
     nanosecondsPerRequest += SMOOTHING * (nanoseconds - nanosecondsPerRequest);
   }
 
-  /** Takes in a report of requests at the upstream. */
+  /** Applies a report of the running and waiting requests at the upstream. */
   public void reported(int running, int waiting, long nowNanoseconds) {
     reportedAtNanoseconds = nowNanoseconds;
-    int mostOwn = Math.max(mostOwnSinceReport, mostOwnBeforeReport);
-    others = Math.max(0, running + waiting - mostOwn);
-    mostOwnBeforeReport = mostOwnSinceReport;
-    mostOwnSinceReport = own;
+    int maximumOwn = Math.max(maximumOwnSinceReport, maximumOwnBeforeReport);
+    others = Math.max(0, running + waiting - maximumOwn);
+    maximumOwnBeforeReport = maximumOwnSinceReport;
+    maximumOwnSinceReport = own;
   }
 
-  /** Returns the requests of this instance at the upstream. */
+  /** Returns the number of requests of this instance at the upstream. */
   public int own() {
     return own;
   }
 
-  /** Returns the estimated requests of all instances at the upstream. */
+  /** Returns the estimated number of requests of all instances at the upstream. */
   public int outstanding(long nowNanoseconds) {
     long age = Math.max(0, nowNanoseconds - reportedAtNanoseconds);
     long halvings = Math.min(MAXIMUM_HALVINGS, age / HALF_LIFE_NANOSECONDS);
     return own + (others >> halvings);
   }
 
-  /** Returns how long requests lately took. */
+  /** Returns the smoothed service time of recent requests. */
   public long nanosecondsPerRequest() {
     return (long) nanosecondsPerRequest;
   }
--- a/routing/src/main/java/org/agatefield/routing/VersionSplit.java
+++ b/routing/src/main/java/org/agatefield/routing/VersionSplit.java
@@ -8,17 +8,17 @@
 /**
  * Splits the requests of a deployment between its versions by weight.
  *
- * <p>Invariant: the same request goes to the same version for as long as the weights stay, at every
- * instance; a change of one weight moves only the share that it must. Immutable.
+ * <p>Invariant: as long as the weights do not change, every instance assigns the same request to
+ * the same version; changing one weight reassigns only as many requests as necessary. Stateless.
  */
 public final class VersionSplit {
   private VersionSplit() {}
 
   /**
-   * Returns the versions with a weight above 0, the request's own first; the others stand in for it
-   * in that order where it has no replica.
+   * Returns the versions with a weight above 0, the version assigned to the request first; the
+   * others replace it, in this order, where it has no replica.
    *
-   * @param requestHash the same for retries of a request
+   * @param requestHash the same for all retries of a request
    */
   public static List<DeploymentVersion> ordered(Deployment deployment, String requestHash) {
     if (deployment.versions().size() == 1) {
--- a/routing/src/main/java/org/agatefield/routing/package-info.java
+++ b/routing/src/main/java/org/agatefield/routing/package-info.java
@@ -1,8 +1,7 @@
 /**
  * Chooses upstreams for requests and entry instances for callers.
  *
- * <p>Nothing here does input or output, starts a thread or reads a clock: times are nanoseconds of
- * a monotonic clock that the embedding program passes in, and randomness comes from a generator
- * that it injects.
+ * <p>Nothing here performs I/O, starts threads or reads clocks: the embedding program passes in
+ * times, in nanoseconds of a monotonic clock, and a random generator.
  */
 package org.agatefield.routing;
--- a/routing/src/test/java/org/agatefield/routing/ChooserTest.java
+++ b/routing/src/test/java/org/agatefield/routing/ChooserTest.java
@@ -37,7 +37,7 @@
   }
 
   @Property(tries = 200, seed = "5104")
-  void everyChooserChoosesOneOfTheCandidatesAndNoneOnlyWithoutAny(
+  void everyChooserReturnsOneOfTheCandidatesUnlessThereAreNone(
       @ForAll @Size(max = 10) List<@IntRange(max = 20) Integer> outstanding) {
     List<Candidate> candidates = new ArrayList<>();
     for (int load : outstanding) {
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void runnerThatSawThePrefixIsPreferredUntilItsLoadOutweighsThePrefill() {
+  void runnerWithCachedPrefixIsPreferredUntilItsLoadOutweighsThePrefill() {
     PrefixTable prefixes = new PrefixTable(10);
     ExpectedTimeChooser chooser = chooser(prefixes);
     chooser.sent(request(1L, 2L), "seen");
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void reportsOfOthersFadeAndOwnRequestsCountAtOnce() {
+  void reportedRequestsOfOthersDecayAndOwnRequestsCountAtOnce() {
     UpstreamLoad load = new UpstreamLoad();
     load.sent();
     load.reported(9, 1, 0);
--- a/routing/src/test/java/org/agatefield/routing/LoadSlowdownTest.java
+++ b/routing/src/test/java/org/agatefield/routing/LoadSlowdownTest.java
@@ -6,13 +6,13 @@
 
 class LoadSlowdownTest {
   @Test
-  void timeOnHalfEmptyUpstreamIsStretchedToThatOnFullOne() {
-    LoadSlowdown stretch = new LoadSlowdown();
-    stretch.recordServiceTime(0.1, 20);
-    assertEquals(1, stretch.fullLoadFactor(0.1));
-    stretch.recordServiceTime(1, 50);
-    assertEquals(2.5, stretch.fullLoadFactor(0.1));
-    assertEquals(1, stretch.fullLoadFactor(1));
-    assertEquals(1, stretch.fullLoadFactor(0.5));
+  void timeOnPartlyLoadedUpstreamIsScaledToFullLoad() {
+    LoadSlowdown slowdown = new LoadSlowdown();
+    slowdown.recordServiceTime(0.1, 20);
+    assertEquals(1, slowdown.fullLoadFactor(0.1));
+    slowdown.recordServiceTime(1, 50);
+    assertEquals(2.5, slowdown.fullLoadFactor(0.1));
+    assertEquals(1, slowdown.fullLoadFactor(1));
+    assertEquals(1, slowdown.fullLoadFactor(0.5));
   }
 }
--- a/routing/src/test/java/org/agatefield/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/agatefield/routing/OutlierDetectorTest.java
@@ -22,7 +22,7 @@
   }
 
   @Property(tries = 300, seed = "5101")
-  void versionWithHoldersAlwaysHasOneToChoose(
+  void versionWithHoldersAlwaysHasEligibleUpstream(
       @ForAll @IntRange(min = 1, max = 8) int holders,
       @ForAll @Size(max = 200) List<@IntRange(max = 7) Integer> failures,
       @ForAll Set<@IntRange(max = 7) Integer> draining,
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void failingUpstreamIsLeftOutForWhileAndThenTriedAgain() {
+  void failingUpstreamIsEjectedForWhileAndThenAdmittedAgain() {
     OutlierDetector outliers = new OutlierDetector(SECOND);
     final List<String> names = List.of("bad", "good");
     outliers.failed("bad", 0);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void upstreamThatIsMuchSlowerThanTheOthersIsLeftOut() {
+  void upstreamThatIsMuchSlowerThanTheOthersIsEjected() {
     OutlierDetector outliers = new OutlierDetector(SECOND);
     boolean ejected = false;
     for (int sample = 0; sample < 10; sample++) {
--- a/routing/src/test/java/org/agatefield/routing/PrefixTableTest.java
+++ b/routing/src/test/java/org/agatefield/routing/PrefixTableTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void eventThatComesLateIsIgnored() {
+  void eventOlderThanTheLastAppliedOneIsIgnored() {
     PrefixTable table = new PrefixTable(100);
     table.event("runner", new CacheEvent(2, List.of(1L), List.of()));
     table.event("runner", new CacheEvent(1, List.of(), List.of(1L)));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void whatWasKnownBeforeGapCountsHalf() {
+  void entriesFromBeforeGapCountHalf() {
     PrefixTable table = new PrefixTable(100);
     table.event("runner", new CacheEvent(1, List.of(1L), List.of()));
     table.event("runner", new CacheEvent(5, List.of(7L), List.of()));
@@ -47,7 +47,7 @@
   }
 
   @Property(tries = 200, seed = "5102")
-  void noMorePrefixesAreKeptThanAllowed(
+  void storedPrefixesStayWithinTheCapacity(
       @ForAll @Size(max = 60) List<@IntRange(max = 1_000) Integer> hashes,
       @ForAll @IntRange(min = 1, max = 10) int capacity) {
     PrefixTable table = new PrefixTable(capacity);
@@ -56,11 +56,11 @@
       distinct.add((long) hash);
       table.sent("runner", List.of((long) hash));
     }
-    long kept =
+    long stored =
         distinct.stream()
             .distinct()
             .filter(hash -> table.cachedShare("runner", List.of(hash)) > 0)
             .count();
-    assertTrue(kept <= capacity);
+    assertTrue(stored <= capacity);
   }
 }
--- a/routing/src/test/java/org/agatefield/routing/RendezvousTest.java
+++ b/routing/src/test/java/org/agatefield/routing/RendezvousTest.java
@@ -22,17 +22,17 @@
   }
 
   @Property(tries = 200, seed = "5103")
-  void instanceThatGoesChangesOnlyTheModelsThatItWasHomeOf(
+  void leavingInstanceChangesOnlyTheHomesOfItsOwnModels(
       @ForAll @IntRange(min = 3, max = 30) int count,
-      @ForAll @IntRange(max = 29) int gone,
+      @ForAll @IntRange(max = 29) int leaving,
       @ForAll @IntRange(max = 300) int model) {
     List<String> before = instances(count);
-    String leaver = "instance" + gone;
+    String leavingInstance = "instance" + leaving;
     List<String> after = new ArrayList<>(before);
-    after.remove(leaver);
+    after.remove(leavingInstance);
     List<String> homesBefore = homes.homes("model" + model, before, 2);
     List<String> homesAfter = homes.homes("model" + model, after, 2);
-    if (!homesBefore.contains(leaver)) {
+    if (!homesBefore.contains(leavingInstance)) {
       assertEquals(homesBefore, homesAfter);
     }
     assertEquals(2, homesAfter.size());
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void versionsShareRequestsByWeightAndEachRequestStaysWithItsVersion() {
+  void versionsReceiveRequestsByWeightAndRequestsStayWithTheirVersion() {
     Deployment deployment =
         new Deployment(
             "quotes",
@@ -58,6 +58,6 @@
       assertEquals(first, VersionSplit.ordered(deployment, "request" + number).get(0).name());
       toNew += first.equals("new") ? 1 : 0;
     }
-    assertTrue(toNew > 800 && toNew < 1_200, "one in ten of 10000, was " + toNew);
+    assertTrue(toNew > 800 && toNew < 1_200, "expected about one in ten of 10000, was " + toNew);
   }
 }
--- a/routing/src/test/java/org/agatefield/routing/UpstreamLoadTest.java
+++ b/routing/src/test/java/org/agatefield/routing/UpstreamLoadTest.java
@@ -8,7 +8,7 @@
   private final UpstreamLoad load = new UpstreamLoad();
 
   @Test
-  void laggingReportOfOwnRequestsIsNotTakenForRequestsOfOthers() {
+  void laggingReportOfOwnRequestsIsNotCountedAsRequestsOfOthers() {
     send(16);
     finish(16);
     load.reported(16, 0, 1);
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void reportThatLagsByOneReportIsNotTakenForRequestsOfOthers() {
+  void reportThatLagsByOneReportIsNotCountedAsRequestsOfOthers() {
     send(16);
     load.reported(16, 0, 1);
     finish(16);
