--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -46,7 +46,7 @@
   private final DispatchMetrics metrics;
   private final InvariantMonitor monitor;
   private final RoutedDispatch.Listener listener;
-  private final LoadSlowdown stretch = new LoadSlowdown();
+  private final LoadSlowdown slowdown = new LoadSlowdown();
   private final Map<Long, PendingRequest> waiting = new HashMap<>();
   private List<Runnable> completions = new ArrayList<>();
   private Set<String> leaving = Set.of();
@@ -148,14 +148,17 @@
     queue.finished(pending.target.name());
     if (outcome == DispatchOutcome.SUCCEEDED) {
       queue.recordServiceTime(pending.target.name(), pending.queued.cost(), nanoseconds, now);
-      stretch.recordServiceTime(utilization, nanoseconds / pending.queued.cost());
+      slowdown.recordServiceTime(utilization, nanoseconds / pending.queued.cost());
     }
     if (upstreams.finished(dispatch, outcome, now)) {
       metrics.ejections.inc();
       decisions.ejected(upstream, outcome);
     }
     double runnerSeconds =
-        nanoseconds / 1e9 / upstreams.state(upstream).limit() * stretch.fullLoadFactor(utilization);
+        nanoseconds
+            / 1e9
+            / upstreams.state(upstream).limit()
+            * slowdown.fullLoadFactor(utilization);
     demand.busy(pending.target.deployment(), runnerSeconds, now);
     dispatchWaiting(upstream, now);
   }
