--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsSimulation.java
@@ -17,8 +17,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Simulates concurrent operators at several instances; a seed determines the order of events at the
- * store and between peers. For use by one thread.
+ * Simulates operators who concurrently submit documents at several instances. The order of store
+ * calls and peer messages is determined by a seed. Not thread-safe.
  */
 final class ConcurrentOperatorsSimulation {
   private static final int INSTANCES = 3;
@@ -29,22 +29,23 @@
   private final ConfigurationHistory history;
   private final List<ActiveConfiguration> instances = new ArrayList<>();
   private final List<List<ConfigurationDocument>> adopted = new ArrayList<>();
-  private final Map<ConfigurationDocument, String> answers = new HashMap<>();
+  private final Map<ConfigurationDocument, String> results = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
-  private final boolean adoptAnything;
+  private final boolean adoptAnyGeneration;
   private int documents;
 
   /**
    * Creates a simulation.
    *
-   * @param adoptAnything whether instances adopt every document they receive, even an older one
+   * @param adoptAnyGeneration whether instances adopt every document they receive, even one of an
+   *     earlier generation
    */
   ConcurrentOperatorsSimulation(
-      long seed, Set<RandomOrderStore.Mechanism> disabled, boolean adoptAnything) {
+      long seed, Set<RandomOrderStore.Mechanism> disabled, boolean adoptAnyGeneration) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     this.store = new RandomOrderStore(random, disabled);
     this.history = new ConfigurationHistory(store);
-    this.adoptAnything = adoptAnything;
+    this.adoptAnyGeneration = adoptAnyGeneration;
     for (int i = 0; i < INSTANCES; i++) {
       ActiveConfiguration instance = new ActiveConfiguration(new Monitor());
       List<ConfigurationDocument> received = new ArrayList<>();
@@ -54,40 +55,40 @@
     }
   }
 
-  /** Runs the simulation and returns every violation. */
+  /** Runs the simulation and returns all violations. */
   List<String> run() {
     for (int i = 0; i < STEPS; i++) {
-      performStep(random.nextInt(10));
+      act(random.nextInt(10));
     }
-    while (store.runOne()) {
+    while (store.runNext()) {
       continue;
     }
     checkAdopted();
-    checkAnswers();
+    checkResults();
     checkSuccession();
     return violations;
   }
 
-  /** Returns how many documents were accepted. */
+  /** Returns the number of accepted documents. */
   int accepted() {
     return acceptedDocuments().size();
   }
 
-  private void performStep(int choice) {
+  private void act(int choice) {
     int instance = random.nextInt(INSTANCES);
     if (choice == 0) {
       apply(instance);
     } else if (choice == 1) {
-      offerFromStore(instance);
+      receiveFromStore(instance);
     } else if (choice == 2) {
       List<ConfigurationDocument> peer = adopted.get(random.nextInt(INSTANCES));
       offer(instance, peer.get(random.nextInt(peer.size())));
     } else {
-      store.runOne();
+      store.runNext();
     }
   }
 
-  /** An operator changes the document in force at an instance, which may be far out of date. */
+  /** Submits a change to an instance's active document, which may be outdated. */
   private void apply(int instance) {
     documents++;
     ConfigurationDocument base = instances.get(instance).current();
@@ -102,25 +103,25 @@
             new WeightStoreLimits(documents, 1, 1));
     new ConfigurationUpdate(store, history, document, store)
         .run()
-        .whenComplete((accepted, failure) -> answered(instance, document, accepted, failure));
+        .whenComplete((accepted, failure) -> completed(instance, document, accepted, failure));
   }
 
-  private void answered(
+  private void completed(
       int instance,
       ConfigurationDocument document,
       ConfigurationDocument accepted,
       Throwable failure) {
     if (failure == null) {
-      answers.put(document, "accepted");
+      results.put(document, "accepted");
       offer(instance, accepted);
       return;
     }
     RunState state = AgatefieldException.from(failure).runState();
-    answers.put(document, state == RunState.NO ? "refused" : "unknown");
+    results.put(document, state == RunState.NO ? "refused" : "unknown");
   }
 
-  /** Offers any past or present version of the object, as a delayed watch or list would. */
-  private void offerFromStore(int instance) {
+  /** Delivers a random version of the object, as a lagging watch or list might. */
+  private void receiveFromStore(int instance) {
     List<StoredObject> versions = store.versionsOf(ConfigurationUpdate.CURRENT);
     if (!versions.isEmpty()) {
       StoredObject version = versions.get(random.nextInt(versions.size()));
@@ -129,7 +130,7 @@
   }
 
   private void offer(int instance, ConfigurationDocument document) {
-    if (adoptAnything) {
+    if (adoptAnyGeneration) {
       adopted.get(instance).add(document);
       return;
     }
@@ -155,20 +156,20 @@
     }
   }
 
-  private void checkAnswers() {
+  private void checkResults() {
     List<ConfigurationDocument> accepted = acceptedDocuments();
-    answers.forEach(
-        (document, answer) -> {
-          boolean isAccepted =
+    results.forEach(
+        (document, result) -> {
+          boolean wasAccepted =
               accepted.contains(document.withGeneration(document.generation() + 1));
-          boolean truthful = answer.equals("unknown") || isAccepted == answer.equals("accepted");
-          if (!truthful) {
-            violations.add(answer + " but " + isAccepted + ": " + document);
+          boolean correct = result.equals("unknown") || wasAccepted == result.equals("accepted");
+          if (!correct) {
+            violations.add(result + " but " + wasAccepted + ": " + document);
           }
         });
   }
 
-  /** Checks that each accepted document replaced the one that it was written against. */
+  /** Checks that each accepted document replaced the one that it is based on. */
   private void checkSuccession() {
     long generation = 0;
     for (ConfigurationDocument document : acceptedDocuments()) {
@@ -179,7 +180,7 @@
     }
   }
 
-  /** Records the violations that the instances report. */
+  /** Collects the violations reported by the instances themselves. */
   private final class Monitor implements InvariantMonitor {
     @Override
     public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/ConcurrentOperatorsTest.java
@@ -19,7 +19,7 @@
   private static final int SEEDS = 200;
 
   @Property(tries = 500, seed = "42")
-  void acceptedDocumentsAreNeverUndoneAndAnswersAreCorrect(@ForAll long seed) {
+  void acceptedDocumentsAreNeverRevertedAndResultsAreCorrect(@ForAll long seed) {
     assertEquals(List.of(), new ConcurrentOperatorsSimulation(seed, Set.of(), false).run());
   }
 
@@ -32,25 +32,27 @@
       simulation.run();
       accepted += simulation.accepted();
     }
-    assertTrue(accepted > 2 * SEEDS, "accepted documents: " + accepted);
+    assertTrue(accepted > 2 * SEEDS, "only accepted " + accepted);
   }
 
   @ParameterizedTest
   @EnumSource(Mechanism.class)
   void disablingAnyMechanismCausesViolations(Mechanism mechanism) {
-    assertTrue(failures(EnumSet.of(mechanism), false) > 0, mechanism + " prevented no violation");
+    assertTrue(failures(EnumSet.of(mechanism), false) > 0, mechanism + " prevents no violation");
   }
 
   @Test
-  void adoptingEveryReceivedDocumentCausesViolations() {
+  void adoptingAnyGenerationCausesViolations() {
     assertTrue(failures(Set.of(), true) > 0);
   }
 
-  private static long failures(Set<Mechanism> disabled, boolean adoptAnything) {
+  private static long failures(Set<Mechanism> disabled, boolean adoptAnyGeneration) {
     return LongStream.range(0, SEEDS)
         .filter(
             seed ->
-                !new ConcurrentOperatorsSimulation(seed, disabled, adoptAnything).run().isEmpty())
+                !new ConcurrentOperatorsSimulation(seed, disabled, adoptAnyGeneration)
+                    .run()
+                    .isEmpty())
         .count();
   }
 }
--- a/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
+++ b/daemon/src/test/java/org/agatefield/daemon/configuration/RandomOrderStore.java
@@ -22,21 +22,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * An in-memory store whose calls take effect and complete in an order that a seed determines.
+ * An in-memory store whose calls take effect and complete in an order determined by a seed.
  *
- * <p>Answers are lost, with or without effect, and calls may take effect long after they were
- * reported as unknown; reads may return old versions. For use by one thread.
+ * <p>Responses may be lost, with or without effect; a call may take effect long after it was
+ * reported as unknown; reads may be stale. Not thread-safe.
  */
 final class RandomOrderStore implements ObjectStore, Executor {
-  /** The mechanisms that a test may disable. */
+  /** Mechanisms of the store that a test can disable. */
   enum Mechanism {
     /** Updates are conditional on the version. */
     CONDITIONAL_UPDATE,
-    /** Objects record the identifiers of the writes that created them. */
+    /** Objects contain the identifiers of the writes that produced them. */
     WRITE_IDENTIFIERS
   }
 
-  private static final int IDENTIFIERS = 16;
+  private static final int MAXIMUM_IDENTIFIERS = 16;
 
   private final UniformRandomProvider random;
   private final Set<Mechanism> disabled;
@@ -49,8 +49,8 @@
     this.disabled = disabled.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(disabled);
   }
 
-  /** Runs one pending call or answer, chosen by the seed; returns whether there was one. */
-  boolean runOne() {
+  /** Runs one randomly chosen pending call or response; returns whether there was one. */
+  boolean runNext() {
     if (pending.isEmpty()) {
       return false;
     }
@@ -58,7 +58,7 @@
     return true;
   }
 
-  /** Returns every version that the object ever had, oldest first. */
+  /** Returns all versions of the object, oldest first. */
   List<StoredObject> versionsOf(ObjectKey key) {
     return versions.getOrDefault(key, List.of());
   }
@@ -70,19 +70,19 @@
 
   @Override
   public CompletableFuture<StoredObject> get(ObjectKey key) {
-    CompletableFuture<StoredObject> answer = new CompletableFuture<>();
-    pending.add(() -> complete(answer, () -> read(key)));
-    return answer;
+    CompletableFuture<StoredObject> response = new CompletableFuture<>();
+    pending.add(() -> complete(response, () -> read(key)));
+    return response;
   }
 
   private StoredObject read(ObjectKey key) {
-    List<StoredObject> history = versionsOf(key);
+    List<StoredObject> known = versionsOf(key);
     int lag = random.nextInt(5) == 0 ? random.nextInt(3) : 0;
-    int position = history.size() - 1 - lag;
+    int position = known.size() - 1 - lag;
     if (position < 0) {
       throw new StoreException(StoreFailure.NOT_FOUND, key.toString());
     }
-    StoredObject found = history.get(position);
+    StoredObject found = known.get(position);
     return disabled.contains(Mechanism.WRITE_IDENTIFIERS)
         ? new StoredObject(key, found.resourceVersion(), List.of(), found.content())
         : found;
@@ -101,57 +101,55 @@
   }
 
   private CompletableFuture<StoredObject> write(Effect effect) {
-    CompletableFuture<StoredObject> answer = new CompletableFuture<>();
+    CompletableFuture<StoredObject> response = new CompletableFuture<>();
     switch (random.nextInt(6)) {
       case 0 -> {
-        pending.add(() -> fail(answer, StoreFailure.UNKNOWN_RESULT));
+        pending.add(() -> fail(response, StoreFailure.UNKNOWN_RESULT));
         pending.add(() -> complete(new CompletableFuture<>(), effect));
       }
-      case 1 -> pending.add(() -> fail(answer, StoreFailure.UNKNOWN_RESULT));
-      case 2 -> pending.add(() -> fail(answer, StoreFailure.UNAVAILABLE));
-      default -> pending.add(() -> complete(answer, effect));
+      case 1 -> pending.add(() -> fail(response, StoreFailure.UNKNOWN_RESULT));
+      case 2 -> pending.add(() -> fail(response, StoreFailure.UNAVAILABLE));
+      default -> pending.add(() -> complete(response, effect));
     }
-    return answer;
+    return response;
   }
 
   private StoredObject put(
       ObjectKey key, Optional<StoredObject> previous, String identifier, JsonNode content) {
-    List<StoredObject> history = versions.computeIfAbsent(key, created -> new ArrayList<>());
+    List<StoredObject> known = versions.computeIfAbsent(key, created -> new ArrayList<>());
     Optional<StoredObject> current =
-        history.isEmpty() ? Optional.empty() : Optional.of(history.get(history.size() - 1));
-    boolean holds =
+        known.isEmpty() ? Optional.empty() : Optional.of(known.get(known.size() - 1));
+    boolean conditionHolds =
         current
             .map(StoredObject::resourceVersion)
             .equals(previous.map(StoredObject::resourceVersion));
-    if (!holds && !disabled.contains(Mechanism.CONDITIONAL_UPDATE)) {
+    if (!conditionHolds && !disabled.contains(Mechanism.CONDITIONAL_UPDATE)) {
       throw new StoreException(
           previous.isEmpty() ? StoreFailure.ALREADY_EXISTS : StoreFailure.CONFLICT, "changed");
     }
     List<String> identifiers = new ArrayList<>(List.of(identifier));
     current.ifPresent(each -> identifiers.addAll(each.writeIdentifiers()));
-    List<String> recentIdentifiers =
-        identifiers.subList(0, Math.min(IDENTIFIERS, identifiers.size()));
-    StoredObject written =
-        new StoredObject(key, Integer.toString(++lastVersion), recentIdentifiers, content);
-    history.add(written);
+    List<String> kept = identifiers.subList(0, Math.min(MAXIMUM_IDENTIFIERS, identifiers.size()));
+    StoredObject written = new StoredObject(key, Integer.toString(++lastVersion), kept, content);
+    known.add(written);
     return written;
   }
 
-  /** The effect of a call. */
+  /** The effect of a call on the stored objects. */
   private interface Effect {
     StoredObject apply();
   }
 
-  private static void complete(CompletableFuture<StoredObject> answer, Effect effect) {
+  private static void complete(CompletableFuture<StoredObject> response, Effect effect) {
     try {
-      answer.complete(effect.apply());
+      response.complete(effect.apply());
     } catch (StoreException exception) {
-      answer.completeExceptionally(exception);
+      response.completeExceptionally(exception);
     }
   }
 
-  private static void fail(CompletableFuture<StoredObject> answer, StoreFailure failure) {
-    answer.completeExceptionally(new StoreException(failure, "injected by the test"));
+  private static void fail(CompletableFuture<StoredObject> response, StoreFailure failure) {
+    response.completeExceptionally(new StoreException(failure, "injected by the test"));
   }
 
   @Override
--- a/daemon/src/test/java/org/agatefield/daemon/dispatch/RefusalRunStateTest.java
+++ b/daemon/src/test/java/org/agatefield/daemon/dispatch/RefusalRunStateTest.java
@@ -21,7 +21,7 @@
 class RefusalRunStateTest {
   private static final int STEPS = 200;
 
-  /** A request with the state that the test tracks. */
+  /** A request tracked by the test, with its latest attempt. */
   private static final class TrackedRequest {
     private CompletableFuture<Dispatch> future;
     private boolean mayHaveRun;
@@ -31,7 +31,7 @@
   private final Set<Long> attemptNumbers = new HashSet<>();
 
   @Property(tries = 40, seed = "5201")
-  void refusalReportsNotRunOnlyIfNoAttemptMayHaveRun(@ForAll long seed) {
+  void refusalWithRunStateNoMeansThatNoAttemptMayHaveRun(@ForAll long seed) {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     attemptNumbers.clear();
     try (DispatchFixture fixture =
@@ -39,7 +39,7 @@
         RoutingDispatcher dispatcher = fixture.dispatcher(5)) {
       List<TrackedRequest> requests = new ArrayList<>();
       for (int step = 0; step < STEPS; step++) {
-        changeDirectories(fixture, random);
+        changeTopology(fixture, random);
         TrackedRequest request = new TrackedRequest();
         String id = "request" + step;
         request.future = dispatcher.acquire(DispatchFixture.request(id, "quotes"));
@@ -52,7 +52,7 @@
     }
   }
 
-  private static void changeDirectories(DispatchFixture fixture, UniformRandomProvider random) {
+  private static void changeTopology(DispatchFixture fixture, UniformRandomProvider random) {
     if (random.nextInt(4) == 0) {
       String upstream = "runner" + random.nextInt(3);
       fixture.leaving = random.nextBoolean() ? Set.of(upstream) : Set.of();
@@ -70,7 +70,7 @@
       return;
     }
     Dispatch dispatch = request.future.join();
-    assertTrue(attemptNumbers.add(dispatch.attemptNumber()), "the attempt number was used twice");
+    assertTrue(attemptNumbers.add(dispatch.attemptNumber()), "attempt number used twice");
     DispatchOutcome outcome =
         DispatchOutcome.values()[random.nextInt(DispatchOutcome.values().length)];
     if (outcome == DispatchOutcome.SUCCEEDED || outcome == DispatchOutcome.CANCELLED) {
@@ -94,6 +94,6 @@
             .runState();
     assertFalse(
         state == RunState.NO && request.mayHaveRun,
-        "reported as not run although an attempt may have run");
+        "refusal reports run state NO although an attempt may have run");
   }
 }
