--- a/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
+++ b/daemon/src/main/java/org/agatefield/daemon/peers/MembershipDriver.java
@@ -99,8 +99,8 @@
           send.address(), MembershipTranslator.toPeer(send.message(), attachments.get()));
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       memberChanged(changed.update());
-    } else if (action instanceof MembershipAction.GenerationObserved heard) {
-      generationListener.observed(heard.holder(), heard.generation());
+    } else if (action instanceof MembershipAction.GenerationObserved observation) {
+      generationListener.observed(observation.holder(), observation.generation());
     }
   }
 
