--- a/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
+++ b/daemon/src/main/java/org/agatefield/daemon/calls/StoreBackedCallExecutor.java
@@ -100,7 +100,7 @@
     if (!running.bodyHash().equals(call.bodySha256())) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(
-              ErrorKind.KEY_REUSED, "the key was already used with a different request"));
+              ErrorKind.KEY_REUSED, "the key was used before with another request"));
     }
     metrics.counter("agatefield.calls.joined").inc();
     return withDeadline(running, call);
--- a/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
+++ b/daemon/src/main/java/org/agatefield/daemon/dispatch/DispatchCore.java
@@ -91,12 +91,7 @@
   /** Queues a request and dispatches it at once if an upstream has free capacity. */
   void admit(PendingRequest pending, long now) {
     if (index.holders(pending.target).isEmpty()) {
-      refuse(
-          pending,
-          ErrorKind.NO_UPSTREAM,
-          "no upstream has it loaded",
-          NO_UPSTREAM_RETRY_AFTER,
-          now);
+      refuse(pending, ErrorKind.NO_UPSTREAM, "no upstream holds it", NO_UPSTREAM_RETRY_AFTER, now);
       return;
     }
     waiting.put(pending.queued.id(), pending);
--- a/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/ForwardingDaemon.java
@@ -385,7 +385,7 @@
    */
   public boolean shutDown() {
     final long startedAt = MonotonicClock.milliseconds();
-    LOGGER.info("shutdown started open={}", ingress.open());
+    LOGGER.info("leaving begun open={}", ingress.open());
     leaving = true;
     peers.leave();
     context.runOnContext(
@@ -413,7 +413,7 @@
     }
     boolean complete = ingress.open() == 0;
     answerOpenRequests();
-    LOGGER.info("shutdown finished complete={} open={}", complete, ingress.open());
+    LOGGER.info("leaving ended complete={} open={}", complete, ingress.open());
     closer.close();
     return complete;
   }
--- a/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
+++ b/daemon/src/main/java/org/agatefield/daemon/forward/UpstreamCall.java
@@ -259,7 +259,7 @@
       return;
     }
     request.reset();
-    listener.failed("aborted: " + cause.getMessage(), Optional.empty());
+    listener.failed("broken off: " + cause.getMessage(), Optional.empty());
   }
 
   private boolean end() {
