--- a/store/src/main/java/org/agatefield/store/Backoff.java
+++ b/store/src/main/java/org/agatefield/store/Backoff.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Jittered exponential delays between tries.
+ * Computes jittered exponential delays between attempts.
  *
- * <p>Each delay is drawn evenly from half the current bound to the whole of it; the bound doubles
- * with each try up to a maximum. Not safe for use by several threads.
+ * <p>Each delay is uniformly distributed between half the current bound and the bound; the bound
+ * doubles with each attempt up to a maximum. Not safe for use by several threads.
  */
 public final class Backoff {
   private final long minimumMilliseconds;
   private final long maximumMilliseconds;
   private long boundMilliseconds;
 
-  /** Creates delays that grow from {@code minimum} to {@code maximum}. */
+  /** Creates a backoff whose bound grows from {@code minimum} to {@code maximum}. */
   public Backoff(Duration minimum, Duration maximum) {
     this.minimumMilliseconds = Math.max(2, minimum.toMillis());
     this.maximumMilliseconds = Math.max(minimumMilliseconds, maximum.toMillis());
@@ -28,7 +28,7 @@
     return ThreadLocalRandom.current().nextLong(bound / 2, bound + 1);
   }
 
-  /** Starts again from the smallest delay. */
+  /** Resets the bound to the minimum. */
   public void reset() {
     boundMilliseconds = minimumMilliseconds;
   }
--- a/store/src/main/java/org/agatefield/store/BoundedBody.java
+++ b/store/src/main/java/org/agatefield/store/BoundedBody.java
@@ -6,7 +6,7 @@
 import io.vertx.core.http.HttpClientResponse;
 
 /**
- * Reads an answer's body up to a bound, since a server in trouble may send without end.
+ * Reads a response body up to a size limit, since a faulty server may send endless data.
  *
  * <p>Stateless.
  */
@@ -16,26 +16,26 @@
   /**
    * Reads the whole body.
    *
-   * @param maximumBytes the connection is reset once more than this came
-   * @return the body; fails if it is larger, or breaks off
+   * @param maximumBytes the request is reset when the body exceeds this size
+   * @return the body; fails if the body is too large or incomplete
    */
   public static Future<Buffer> read(HttpClientResponse response, int maximumBytes) {
-    Promise<Buffer> whole = Promise.promise();
+    Promise<Buffer> result = Promise.promise();
     Buffer body = Buffer.buffer();
-    response.exceptionHandler(whole::tryFail);
-    response.endHandler(ended -> whole.tryComplete(body));
+    response.exceptionHandler(result::tryFail);
+    response.endHandler(ignored -> result.tryComplete(body));
     response.handler(
         bytes -> {
-          if (whole.future().isComplete()) {
+          if (result.future().isComplete()) {
             return;
           }
           if (body.length() + bytes.length() > maximumBytes) {
-            whole.tryFail("the answer is larger than " + maximumBytes + " bytes");
+            result.tryFail("response body exceeds " + maximumBytes + " bytes");
             response.request().reset();
             return;
           }
           body.appendBuffer(bytes);
         });
-    return whole.future();
+    return result.future();
   }
 }
--- a/store/src/main/java/org/agatefield/store/CircuitBreakingStore.java
+++ b/store/src/main/java/org/agatefield/store/CircuitBreakingStore.java
@@ -8,26 +8,26 @@
 import java.util.function.Supplier;
 
 /**
- * Refuses calls at once while the store does not answer, but for one probe after each pause.
+ * Circuit breaker that fails calls immediately while the store does not respond.
  *
- * <p>After some failures in a row the breaker opens: calls fail with {@link
- * StoreFailure#UNAVAILABLE} without being made, which proves that they have no effect. After a
- * jittered pause one call is let through; its success closes the breaker. Lists and watches pass,
- * since their callers wait between tries by themselves. Safe for use by any thread; state is
- * guarded by the object's lock, which is not held during calls.
+ * <p>The breaker opens after several consecutive failures: calls then fail with {@link
+ * StoreFailure#UNAVAILABLE} without being made, so they certainly have no effect. After each
+ * jittered pause one probe call is admitted; its success closes the breaker. Lists and watches
+ * bypass the breaker, since their callers back off between attempts. Safe for use by any thread;
+ * state is guarded by the object's lock, which is not held during calls.
  */
 public final class CircuitBreakingStore implements ObjectStore {
   private static final int FAILURES_TO_OPEN = 8;
 
   private final ObjectStore store;
   private final long pauseNanoseconds;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private long nextProbeNanoseconds;
 
   /**
    * Wraps a store.
    *
-   * @param pause the longest time between two probes while the store does not answer
+   * @param pause the maximum time between two probes while the breaker is open
    */
   public CircuitBreakingStore(ObjectStore store, Duration pause) {
     this.store = store;
@@ -76,42 +76,44 @@
     if (!admits()) {
       return CompletableFuture.failedFuture(
           new StoreException(
-              StoreFailure.UNAVAILABLE, "the store has not answered lately; no call was made"));
+              StoreFailure.UNAVAILABLE, "store circuit breaker is open; no call was made"));
     }
     return call.get().whenComplete((result, failure) -> record(failure));
   }
 
   private synchronized boolean admits() {
-    if (failuresInRow < FAILURES_TO_OPEN) {
+    if (consecutiveFailures < FAILURES_TO_OPEN) {
       return true;
     }
     long now = System.nanoTime();
     if (now - nextProbeNanoseconds < 0) {
       return false;
     }
-    pause(now);
+    postponeProbe(now);
     return true;
   }
 
   private synchronized void record(Throwable failure) {
     boolean answered =
-        StoreException.failureOf(failure).map(known -> !isSilence(known)).orElse(failure == null);
+        StoreException.failureOf(failure)
+            .map(known -> !isNoResponse(known))
+            .orElse(failure == null);
     if (answered) {
-      failuresInRow = 0;
+      consecutiveFailures = 0;
       return;
     }
-    failuresInRow++;
-    if (failuresInRow == FAILURES_TO_OPEN) {
-      pause(System.nanoTime());
+    consecutiveFailures++;
+    if (consecutiveFailures == FAILURES_TO_OPEN) {
+      postponeProbe(System.nanoTime());
     }
   }
 
-  private void pause(long now) {
+  private void postponeProbe(long now) {
     long pause = ThreadLocalRandom.current().nextLong(pauseNanoseconds / 2, pauseNanoseconds + 1);
     nextProbeNanoseconds = now + pause;
   }
 
-  private static boolean isSilence(StoreFailure failure) {
+  private static boolean isNoResponse(StoreFailure failure) {
     return failure == StoreFailure.UNAVAILABLE || failure == StoreFailure.UNKNOWN_RESULT;
   }
 }
--- a/store/src/main/java/org/agatefield/store/HttpCall.java
+++ b/store/src/main/java/org/agatefield/store/HttpCall.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One HTTP call with a time limit.
+ * Performs one HTTP call with a timeout.
  *
- * <p>Invariants: the future completes once; a failure with {@link StoreFailure#UNAVAILABLE} of a
- * write means that no byte was handed to a connection and none will be. All state is guarded by the
- * object's lock, which is never held while a future completes. Safe for use by any thread.
+ * <p>Invariants: the future completes once; if a write fails with {@link StoreFailure#UNAVAILABLE},
+ * no byte was or will be written to a connection. All state is guarded by the object's lock, which
+ * is never held while a future completes. Safe for use by any thread.
  */
 final class HttpCall {
-  /** The answer of the store. Immutable as long as nobody changes {@code body}. */
+  /** A response of the store. Immutable as long as {@code body} is not modified. */
   record Answer(boolean write, int status, Buffer body) {}
 
   private static final int MAXIMUM_ANSWER_BYTES = 16 * 1_048_576; // a list page is about 1 MB
@@ -28,7 +28,7 @@
   private final boolean write;
   private final String description;
   private boolean sent;
-  private boolean over;
+  private boolean completed;
   private HttpClientRequest request;
 
   private HttpCall(HttpMethod method, String path) {
@@ -55,7 +55,7 @@
 
   private void send(HttpClientRequest opened, Buffer body) {
     synchronized (this) {
-      if (over) {
+      if (completed) {
         opened.reset();
         return;
       }
@@ -72,7 +72,7 @@
 
   private void succeed(Answer answer) {
     synchronized (this) {
-      over = true;
+      completed = true;
     }
     result.complete(answer);
   }
@@ -80,18 +80,18 @@
   private void expire() {
     HttpClientRequest opened;
     synchronized (this) {
-      over = true;
+      completed = true;
       opened = request;
     }
     if (opened != null) {
       opened.reset();
     }
-    finish("no answer in time", null);
+    finish("no response within the timeout", null);
   }
 
   private void fail(Throwable cause) {
     synchronized (this) {
-      over = true;
+      completed = true;
     }
     finish(String.valueOf(cause.getMessage()), cause);
   }
--- a/store/src/main/java/org/agatefield/store/HttpObjectStore.java
+++ b/store/src/main/java/org/agatefield/store/HttpObjectStore.java
@@ -15,9 +15,9 @@
 import org.agatefield.model.Closer;
 
 /**
- * An object API over HTTP, spelt as a {@link StoreDialect} says.
+ * HTTP client of an object API whose protocol is defined by a {@link StoreDialect}.
  *
- * <p>A write whose answer is lost after its first byte was sent fails with {@link
+ * <p>A write whose response is lost after its first byte was sent fails with {@link
  * StoreFailure#UNKNOWN_RESULT}; see {@link ResolvingObjectStore}. Safe for use by any thread;
  * futures complete on Vert.x threads.
  */
@@ -35,7 +35,7 @@
   private final Closer closer = new Closer();
 
   /**
-   * Creates a client of a store in the Kubernetes API conventions.
+   * Creates a client of a store that follows the Kubernetes API conventions.
    *
    * @param timeout how long a call may take before its result is unknown
    */
@@ -95,15 +95,15 @@
         .thenAccept(answer -> requireSuccess(true, previous.key().toString(), answer));
   }
 
-  /** Reads every page; the version is that of the first one, so that a watch misses nothing. */
+  /** Reads all pages; returns the version of the first one, so that a watch misses no change. */
   @Override
   public CompletableFuture<ObjectList> list(ObjectKind kind) {
     return call(HttpMethod.GET, dialect.kindPath(kind), Buffer.buffer())
         .thenApply(answer -> pageOf(kind, answer))
-        .thenCompose(page -> readRest(kind, page.objects(), page));
+        .thenCompose(page -> readRemainingPages(kind, page.objects(), page));
   }
 
-  private CompletableFuture<ObjectList> readRest(
+  private CompletableFuture<ObjectList> readRemainingPages(
       ObjectKind kind, ObjectList read, ObjectPage page) {
     if (page.continueToken().isEmpty()) {
       return CompletableFuture.completedFuture(read);
@@ -111,7 +111,7 @@
     String path = dialect.nextPagePath(kind, page.continueToken().get());
     return call(HttpMethod.GET, path, Buffer.buffer())
         .thenApply(answer -> pageOf(kind, answer))
-        .thenCompose(next -> readRest(kind, read.append(next.objects()), next));
+        .thenCompose(next -> readRemainingPages(kind, read.append(next.objects()), next));
   }
 
   @Override
@@ -154,18 +154,18 @@
     requireSuccess(write, key.toString(), answer);
     return ObjectCodec.parse(answer.body())
         .flatMap(root -> dialect.decodeObject(key.kind(), root))
-        .orElseThrow(() -> unreadable(write, key.toString()));
+        .orElseThrow(() -> malformed(write, key.toString()));
   }
 
   private ObjectPage pageOf(ObjectKind kind, HttpCall.Answer answer) {
     requireSuccess(false, kind.plural(), answer);
     return ObjectCodec.parse(answer.body())
         .flatMap(root -> dialect.decodePage(kind, root))
-        .orElseThrow(() -> unreadable(false, kind.plural()));
+        .orElseThrow(() -> malformed(false, kind.plural()));
   }
 
-  private static StoreException unreadable(boolean write, String subject) {
+  private static StoreException malformed(boolean write, String subject) {
     StoreFailure failure = write ? StoreFailure.UNKNOWN_RESULT : StoreFailure.UNAVAILABLE;
-    return new StoreException(failure, subject + ": the store's answer is not an object");
+    return new StoreException(failure, subject + ": malformed response of the store");
   }
 }
--- a/store/src/main/java/org/agatefield/store/HttpWatch.java
+++ b/store/src/main/java/org/agatefield/store/HttpWatch.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One watch of a kind: a response of JSON lines that ends only by a failure or by closing.
+ * Watches a kind through one streaming response of JSON lines that ends only on failure or close.
  *
  * <p>Invariant: {@link WatchListener#ended} is called at most once, and nothing is reported after
  * it or after {@link #close()}. Safe for use by any thread.
  */
 final class HttpWatch implements AutoCloseable {
-  private static final int MAXIMUM_EVENT_BYTES = 16 * 1_048_576; // an object is some megabytes
+  private static final int MAXIMUM_EVENT_BYTES = 16 * 1_048_576; // objects take several megabytes
   private static final int MAXIMUM_REFUSAL_BYTES = 65_536; // a status object is small
   private static final int SUCCESS_STATUS = 200;
 
   private final ObjectKind kind;
   private final WatchListener listener;
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final AtomicBoolean finished = new AtomicBoolean();
   private final AtomicReference<HttpClientRequest> request = new AtomicReference<>();
 
   private HttpWatch(ObjectKind kind, WatchListener listener) {
@@ -44,7 +44,7 @@
 
   @Override
   public void close() {
-    over.set(true);
+    finished.set(true);
     HttpClientRequest opened = request.get();
     if (opened != null) {
       opened.reset();
@@ -53,7 +53,7 @@
 
   private void send(HttpClientRequest opened) {
     request.set(opened);
-    if (over.get()) {
+    if (finished.get()) {
       opened.reset();
       return;
     }
@@ -71,7 +71,7 @@
     RecordParser lines = RecordParser.newDelimited("\n", response);
     lines.maxRecordSize(MAXIMUM_EVENT_BYTES);
     lines.exceptionHandler(this::fail);
-    lines.endHandler(ended -> end(StoreFailure.UNAVAILABLE, "the store ended the watch"));
+    lines.endHandler(ended -> end(StoreFailure.UNAVAILABLE, "stream ended by the store"));
     lines.handler(this::readLine);
   }
 
@@ -81,7 +81,7 @@
   }
 
   private void readLine(Buffer line) {
-    if (over.get() || line.length() == 0) {
+    if (finished.get() || line.length() == 0) {
       return;
     }
     ObjectCodec.parse(line).ifPresent(this::dispatch);
@@ -105,7 +105,7 @@
   }
 
   private void end(StoreFailure failure, String reason) {
-    if (over.compareAndSet(false, true)) {
+    if (finished.compareAndSet(false, true)) {
       listener.ended(new StoreException(failure, "watch of " + kind.plural() + ": " + reason));
     }
   }
--- a/store/src/main/java/org/agatefield/store/InformerListener.java
+++ b/store/src/main/java/org/agatefield/store/InformerListener.java
@@ -2,24 +2,24 @@
 
 import java.util.Map;
 
-/** Receives what an {@link ObjectInformer} learns, one call at a time. */
+/** Receives the changes that an {@link ObjectInformer} observes, one call at a time. */
 public interface InformerListener {
-  /** An object was created or replaced since the last call about it. */
+  /** Called when an object was created or replaced. */
   default void changed(StoredObject object) {}
 
-  /** An object was deleted. */
+  /** Called when an object was deleted. */
   default void deleted(ObjectKey key) {}
 
   /**
-   * The objects known by name, after one list or one change of a watch.
+   * Called with all known objects by name after each list and each change of a watch.
    *
    * <p>A list may lag: an object may be older than one reported before.
    */
   default void updated(Map<String, StoredObject> objects) {}
 
-  /** The objects known are those that the source has now. */
+  /** Called when the known objects are confirmed to match the source. */
   default void confirmed() {}
 
-  /** The store stopped answering, or answers again; told only when this changes. */
+  /** Called when the store becomes unavailable or available again. */
   default void availabilityChanged(boolean available) {}
 }
--- a/store/src/main/java/org/agatefield/store/InstanceList.java
+++ b/store/src/main/java/org/agatefield/store/InstanceList.java
@@ -7,24 +7,24 @@
 import org.agatefield.model.FailureDomain;
 import org.agatefield.model.InstanceState;
 
-/** The platform's lagging list of live and leaving instances. Safe for use by any thread. */
+/** Provides the platform's list of live and leaving instances, which may lag. Thread-safe. */
 public interface InstanceList {
-  /** Returns what is known now; {@link Snapshot#EMPTY} before anything was learnt. */
+  /** Returns the latest list; {@link Snapshot#EMPTY} before the first one was received. */
   Snapshot current();
 
-  /** Calls {@code listener} with each later state, one at a time. */
+  /** Calls {@code listener} with each later list, one call at a time. */
   void subscribe(Consumer<Snapshot> listener);
 
   /**
-   * The list at one moment. Immutable.
+   * The list at one point in time. Immutable.
    *
    * @param entries the entry instances, in the order of their names
-   * @param liveUpstreams names of the upstreams that take new work
-   * @param leavingUpstreams names of the upstreams that leave and get no new work
+   * @param liveUpstreams names of the upstreams that accept new requests
+   * @param leavingUpstreams names of the upstreams that are leaving and receive no new requests
    */
   record Snapshot(
       List<EntryInstance> entries, Set<String> liveUpstreams, Set<String> leavingUpstreams) {
-    /** Nothing known. */
+    /** The empty list. */
     public static final Snapshot EMPTY = new Snapshot(List.of(), Set.of(), Set.of());
 
     /** Copies the collections. */
@@ -39,10 +39,10 @@
    * An entry instance in the list. Immutable.
    *
    * @param name the name in the list
-   * @param callerAddress where callers connect
-   * @param peerAddress where other instances connect
-   * @param failureDomain where it lies
-   * @param state whether it is leaving
+   * @param callerAddress the address that callers connect to
+   * @param peerAddress the address that other instances connect to
+   * @param failureDomain the instance's failure domain
+   * @param state whether the instance is leaving
    */
   record EntryInstance(
       String name,
--- a/store/src/main/java/org/agatefield/store/KubernetesDialect.java
+++ b/store/src/main/java/org/agatefield/store/KubernetesDialect.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** The Kubernetes API conventions. Stateless and safe for use by any thread. */
+/** Implements the Kubernetes API conventions. Stateless and safe for use by any thread. */
 final class KubernetesDialect implements StoreDialect {
   private static final String BASE_PATH = "/apis/agatefield.org/v1/namespaces/default/";
 
--- a/store/src/main/java/org/agatefield/store/LongPollWatch.java
+++ b/store/src/main/java/org/agatefield/store/LongPollWatch.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * A watch made of calls that each wait for changes.
+ * Watches a kind by long polling.
  *
- * <p>A call that outlives its wait by the given allowance counts as a lost connection. Invariants:
- * at most one call runs at once; {@link WatchListener#ended} is called at most once, and nothing is
- * reported after it or after {@link #close()}. Safe for use by any thread.
+ * <p>A call that exceeds its time limit counts as a lost connection. Invariants: at most one call
+ * runs at a time; {@link WatchListener#ended} is called at most once, and nothing is reported after
+ * it or after {@link #close()}. Safe for use by any thread.
  */
 public final class LongPollWatch implements AutoCloseable {
   private static final int SUCCESS_STATUS = 200;
@@ -23,7 +23,7 @@
   private final Dialect dialect;
   private final Duration limit;
   private final long pauseMilliseconds;
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final AtomicBoolean finished = new AtomicBoolean();
 
   private LongPollWatch(WatchCall call, Dialect dialect, Duration limit, Duration pause) {
     this.call = call;
@@ -35,8 +35,8 @@
   /**
    * Starts a watch.
    *
-   * @param limit how long one call may take, its wait included
-   * @param pause how long to wait after changes, so that one call brings several
+   * @param limit the timeout of one call, including its wait for changes
+   * @param pause the delay before the next call after changes, so that a call returns several
    */
   public static AutoCloseable start(
       WatchCall call, Dialect dialect, Duration limit, Duration pause) {
@@ -45,23 +45,23 @@
     return watch;
   }
 
-  /** How a call that waits for changes is spelt. Implementations are safe for any thread. */
+  /** Defines the long-polling calls. Implementations are safe for use by any thread. */
   public interface Dialect {
     /** Returns the path of the call that reports changes after a version. */
     String path(ObjectKind kind, String fromVersion);
 
-    /** Reads the answer; empty if {@code root} is none. */
+    /** Decodes a response; empty if {@code root} is malformed. */
     Optional<Batch> decode(ObjectKind kind, JsonNode root);
 
-    /** Returns why a call failed. */
+    /** Returns the failure for a response status and body. */
     StoreFailure failureOf(int status, JsonNode body);
   }
 
   /**
-   * Changes that one call reported. Immutable.
+   * The changes that one call returned. Immutable.
    *
-   * @param version the version that they lead to
-   * @param changes in the order of their versions
+   * @param version the store's version after the changes
+   * @param changes the changes in the order of their versions
    */
   public record Batch(String version, List<Change> changes) {
     /** Copies the list. */
@@ -71,20 +71,20 @@
   }
 
   /**
-   * One change. Immutable.
+   * A change of one object. Immutable.
    *
-   * @param object as it is, or as it was before it was deleted
-   * @param deleted whether it is gone
+   * @param object the current object, or its last state if it was deleted
+   * @param deleted whether the object was deleted
    */
   public record Change(StoredObject object, boolean deleted) {}
 
   @Override
   public void close() {
-    over.set(true);
+    finished.set(true);
   }
 
   private void poll(String version) {
-    if (over.get()) {
+    if (finished.get()) {
       return;
     }
     String path = dialect.path(call.kind(), version);
@@ -110,7 +110,7 @@
     }
     Optional<Batch> batch = body.flatMap(root -> dialect.decode(call.kind(), root));
     if (batch.isEmpty()) {
-      end(StoreFailure.UNAVAILABLE, "the answer is not a list of changes");
+      end(StoreFailure.UNAVAILABLE, "response is not a list of changes");
       return;
     }
     report(batch.get());
@@ -123,7 +123,7 @@
 
   private void report(Batch batch) {
     for (Change change : batch.changes()) {
-      if (over.get()) {
+      if (finished.get()) {
         return;
       }
       if (change.deleted()) {
@@ -132,13 +132,13 @@
         call.listener().changed(change.object());
       }
     }
-    if (!over.get()) {
+    if (!finished.get()) {
       call.listener().reached(batch.version());
     }
   }
 
   private void end(StoreFailure failure, String reason) {
-    if (over.compareAndSet(false, true)) {
+    if (finished.compareAndSet(false, true)) {
       call.listener()
           .ended(new StoreException(failure, "watch of " + call.kind().plural() + ": " + reason));
     }
--- a/store/src/main/java/org/agatefield/store/ObjectCodec.java
+++ b/store/src/main/java/org/agatefield/store/ObjectCodec.java
@@ -12,10 +12,10 @@
 import java.util.Optional;
 
 /**
- * Translates between {@link StoredObject} and the JSON of the Kubernetes API conventions.
+ * Converts between {@link StoredObject} and the JSON of the Kubernetes API conventions.
  *
- * <p>The write identifiers lie in one annotation, newest first, separated by commas. Stateless and
- * safe for use by any thread.
+ * <p>Write identifiers are stored in one annotation, newest first, separated by commas. Stateless
+ * and safe for use by any thread.
  */
 final class ObjectCodec {
   static final String API_VERSION = "agatefield.org/v1";
@@ -51,7 +51,7 @@
     return Buffer.buffer(root.toString());
   }
 
-  /** Reads any JSON; empty if it is none. */
+  /** Parses JSON; empty if {@code body} is not valid JSON. */
   static Optional<JsonNode> parse(Buffer body) {
     try {
       return Optional.ofNullable(MAPPER.readTree(body.getBytes()));
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Reads an object; empty if {@code root} is none. */
+  /** Decodes an object; empty if {@code root} is not an object of the store. */
   static Optional<StoredObject> decode(ObjectKind kind, JsonNode root) {
     JsonNode metadata = root.path("metadata");
     String name = metadata.path("name").asText();
@@ -74,7 +74,7 @@
         new StoredObject(new ObjectKey(kind, name), version, identifiers, root.path("spec")));
   }
 
-  /** Reads a page of a list; empty if {@code root} is none. */
+  /** Decodes a page of a list; empty if {@code root} is not a page. */
   static Optional<ObjectPage> decodePage(ObjectKind kind, JsonNode root) {
     String version = root.path("metadata").path("resourceVersion").asText();
     if (version.isEmpty() || !root.path("items").isArray()) {
@@ -89,7 +89,7 @@
     return Optional.of(new ObjectPage(new ObjectList(version, objects), continueToken));
   }
 
-  /** Returns the canonical kind name of a kind, such as {@code Claim}. */
+  /** Returns the canonical name of a kind, such as {@code Claim}. */
   static String kindName(ObjectKind kind) {
     String name = kind.name();
     return name.charAt(0) + name.substring(1).toLowerCase(Locale.ROOT);
--- a/store/src/main/java/org/agatefield/store/ObjectInformer.java
+++ b/store/src/main/java/org/agatefield/store/ObjectInformer.java
@@ -12,19 +12,20 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the objects of a kind known: lists, then watches, and lists again when the watch cannot go
- * on and at each poll interval.
+ * Caches the objects of a kind: lists them, then watches for changes, and lists them again if the
+ * watch cannot be resumed and at each poll interval.
  *
- * <p>Invariants: at most one watch and one list run at once; after a failure the next call waits a
- * jittered delay that doubles up to a maximum, so that many instances do not call at once when the
- * store comes back; a change that a watch reports while a list runs is not lost, since the watch
- * then starts again from the list's version. Safe for use by any thread: state is guarded by the
- * object's lock, and listeners are called under it, one at a time; they must not block.
+ * <p>Invariants: at most one watch and one list run at a time; after a failure the next call is
+ * delayed by a capped, jittered exponential backoff, so that the instances do not all call at once
+ * when the store recovers; a change that a watch reports while a list is in progress is not lost,
+ * since the watch then restarts from the list's version. Safe for use by any thread: state is
+ * guarded by the object's lock; listeners are called while it is held, one at a time, and must not
+ * block.
  */
 public final class ObjectInformer implements AutoCloseable {
   private static final Logger LOGGER = LogManager.getLogger(ObjectInformer.class);
-  private static final Duration FIRST_DELAY = Duration.ofMillis(200);
-  private static final Duration LONGEST_DELAY = Duration.ofSeconds(10);
+  private static final Duration INITIAL_DELAY = Duration.ofMillis(200);
+  private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(10);
 
   private final Vertx vertx;
   private final ObjectSource store;
@@ -48,29 +49,29 @@
    * @param pollInterval how often the kind is listed although the watch is quiet
    */
   public ObjectInformer(Vertx vertx, ObjectSource store, ObjectKind kind, Duration pollInterval) {
-    this(vertx, store, kind, pollInterval, LONGEST_DELAY);
+    this(vertx, store, kind, pollInterval, MAXIMUM_DELAY);
   }
 
   /**
    * Creates an informer; {@link #start()} starts it.
    *
    * @param pollInterval how often the kind is listed although the watch is quiet
-   * @param longestDelay the longest pause between calls to a store that does not answer
+   * @param maximumDelay the maximum backoff while the store does not respond
    */
   public ObjectInformer(
       Vertx vertx,
       ObjectSource store,
       ObjectKind kind,
       Duration pollInterval,
-      Duration longestDelay) {
-    this.backoff = new Backoff(FIRST_DELAY, longestDelay);
+      Duration maximumDelay) {
+    this.backoff = new Backoff(INITIAL_DELAY, maximumDelay);
     this.vertx = vertx;
     this.store = store;
     this.kind = kind;
     this.pollInterval = pollInterval;
   }
 
-  /** Adds a listener; it is told of the objects known so far, if a list has succeeded. */
+  /** Adds a listener and notifies it of the cached objects, if a list has succeeded. */
   public synchronized ObjectInformer listen(InformerListener listener) {
     listeners.add(listener);
     if (listed) {
@@ -80,18 +81,18 @@
     return this;
   }
 
-  /** Starts to list and watch. */
+  /** Starts listing and watching. */
   public synchronized ObjectInformer start() {
     list();
     return this;
   }
 
-  /** Returns the objects known by name; empty if no list has succeeded yet. */
+  /** Returns the cached objects by name; empty if no list has succeeded yet. */
   public synchronized Optional<Map<String, StoredObject>> known() {
     return listed ? Optional.of(Map.copyOf(objects)) : Optional.empty();
   }
 
-  /** Lists again soon, for a caller that has reason to think that something changed. */
+  /** Schedules a list, for callers that expect a change that was not reported yet. */
   public synchronized void refresh() {
     schedule(backoff.nextMilliseconds(), this::list);
   }
@@ -131,17 +132,17 @@
   }
 
   private void replaceAll(ObjectList list) {
-    Map<String, StoredObject> before = new HashMap<>(objects);
+    Map<String, StoredObject> previous = new HashMap<>(objects);
     objects.clear();
     for (StoredObject object : list.objects()) {
       objects.put(object.key().name(), object);
-      StoredObject earlier = before.remove(object.key().name());
-      boolean same = earlier != null && earlier.resourceVersion().equals(object.resourceVersion());
-      if (!same) {
+      StoredObject old = previous.remove(object.key().name());
+      boolean unchanged = old != null && old.resourceVersion().equals(object.resourceVersion());
+      if (!unchanged) {
         listeners.forEach(listener -> listener.changed(object));
       }
     }
-    before.values().forEach(gone -> listeners.forEach(each -> each.deleted(gone.key())));
+    previous.values().forEach(removed -> listeners.forEach(each -> each.deleted(removed.key())));
     listed = true;
     notifyUpdated();
   }
@@ -166,11 +167,11 @@
       return;
     }
     LOGGER.debug("watch ended kind={} cause={}", kind, failure.getMessage());
-    boolean gone = failure.failure() == StoreFailure.VERSION_GONE;
-    if (!gone) {
+    boolean expired = failure.failure() == StoreFailure.VERSION_GONE;
+    if (!expired) {
       setAvailable(false, failure.getMessage());
     }
-    Runnable next = gone ? this::list : this::resumeWatch;
+    Runnable next = expired ? this::list : this::resumeWatch;
     schedule(backoff.nextMilliseconds(), next);
   }
 
@@ -240,7 +241,7 @@
   }
 
   /**
-   * Passes on what a watch reports, with its number, so that an earlier watch can be told apart.
+   * Forwards the events of a watch with its number, so that events of earlier watches are ignored.
    */
   private final class NumberedListener implements WatchListener {
     private final long number;
--- a/store/src/main/java/org/agatefield/store/ObjectKey.java
+++ b/store/src/main/java/org/agatefield/store/ObjectKey.java
@@ -1,7 +1,7 @@
 package org.agatefield.store;
 
 /**
- * The identity of an object. Immutable.
+ * Identifies an object. Immutable.
  *
  * @param kind the kind
  * @param name unique within the kind; lower-case letters, digits, dots and hyphens
--- a/store/src/main/java/org/agatefield/store/ObjectKind.java
+++ b/store/src/main/java/org/agatefield/store/ObjectKind.java
@@ -1,22 +1,22 @@
 package org.agatefield.store;
 
-/** The kinds of object that agatefield keeps in the platform's store. */
+/** The kinds of objects in the platform's store. */
 public enum ObjectKind {
-  /** The one intended configuration. */
+  /** The intended configuration, of which there is exactly one. */
   CONFIGURATION("configurations"),
-  /** Earlier configurations; apart, so that those who list the current one do not read them. */
+  /** Earlier configurations, kept separately so that listing the current one does not read them. */
   CONFIGURATION_HISTORY("configurationhistories"),
   /** Leases with their fencing tokens. */
   LEASE("leases"),
   /** One memory ledger for each model runner. */
   LEDGER("ledgers"),
-  /** Claims and outcomes of calls that must not repeat. */
+  /** Claims and outcomes of calls that must not be repeated. */
   CLAIM("claims"),
-  /** What the daemons report for operators. */
+  /** Status reports of the daemons for operators. */
   STATUS("statuses"),
-  /** The platform's own list of live and leaving instances and upstreams; read only. */
+  /** The platform's list of live and leaving instances and upstreams; read-only. */
   INSTANCE("instances"),
-  /** The runners' own entries, where a platform keeps them; read only. */
+  /** The runners' entries, on platforms that store them; read-only. */
   RUNNER("runners");
 
   private final String plural;
--- a/store/src/main/java/org/agatefield/store/ObjectList.java
+++ b/store/src/main/java/org/agatefield/store/ObjectList.java
@@ -4,7 +4,7 @@
 import java.util.stream.Stream;
 
 /**
- * All objects of a kind at one moment. Immutable.
+ * All objects of a kind at one point in time. Immutable.
  *
  * @param resourceVersion the version to start a watch from
  * @param objects the objects, in the order of their names
@@ -15,7 +15,7 @@
     objects = List.copyOf(objects);
   }
 
-  /** Returns these objects and those of the next page, at this list's version. */
+  /** Returns a list of these objects and those of the next page, with this list's version. */
   ObjectList append(ObjectList next) {
     return new ObjectList(
         resourceVersion, Stream.concat(objects.stream(), next.objects.stream()).toList());
--- a/store/src/main/java/org/agatefield/store/ObjectPage.java
+++ b/store/src/main/java/org/agatefield/store/ObjectPage.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * A part of the objects of a kind. Immutable.
+ * One page of a list of objects. Immutable.
  *
- * @param objects the objects of this page and the version that the whole list was read at
- * @param continueToken names the next page; empty after the last one
+ * @param objects the objects of this page and the version of the list
+ * @param continueToken identifies the next page; empty for the last page
  */
 public record ObjectPage(ObjectList objects, Optional<String> continueToken) {}
--- a/store/src/main/java/org/agatefield/store/ObjectSource.java
+++ b/store/src/main/java/org/agatefield/store/ObjectSource.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Where an {@link ObjectInformer} learns objects from.
+ * Lists and watches objects on behalf of an {@link ObjectInformer}.
  *
  * <p>Futures may fail with a {@link StoreException}. Implementations are safe for use by any
  * thread; futures may complete on any thread.
@@ -13,10 +13,10 @@
   CompletableFuture<ObjectList> list(ObjectKind kind);
 
   /**
-   * Reports every change of a kind after a version, until closed or failed.
+   * Reports every change of a kind after a version until the watch is closed or fails.
    *
    * @param fromVersion a version from {@link ObjectList#resourceVersion()}
-   * @return closes the watch; closing it twice does nothing
+   * @return closes the watch; further calls of {@code close} have no effect
    */
   AutoCloseable watch(ObjectKind kind, String fromVersion, WatchListener listener);
 }
--- a/store/src/main/java/org/agatefield/store/ResolvingObjectStore.java
+++ b/store/src/main/java/org/agatefield/store/ResolvingObjectStore.java
@@ -6,25 +6,28 @@
 import java.util.function.Function;
 
 /**
- * Finds out what became of writes whose answer was lost, by reading back.
+ * Resolves the outcome of writes whose response was lost by reading the object back.
  *
- * <p>After {@link StoreFailure#UNKNOWN_RESULT} the object is read. What that proves:
+ * <p>After {@link StoreFailure#UNKNOWN_RESULT} the object is read, and the outcome is derived:
  *
  * <ul>
- *   <li>the write identifier is in the object: the write took effect; its object is returned;
- *   <li>an update, and the object has another version without the identifier: the update had no
+ *   <li>The object contains the write identifier: the write took effect, and the object is
+ *       returned.
+ *   <li>After an update, the object has another version without the identifier: the update had no
  *       effect and never will, since its condition cannot hold again ({@link
- *       StoreFailure#CONFLICT}); wrong only if more than 16 writes followed within the call;
- *   <li>a delete, and the object is gone or has another version: done or overtaken;
- *   <li>a create, and an object without the identifier is there: {@link
- *       StoreFailure#ALREADY_EXISTS}. This is weaker than the interface says: the create cannot
- *       take effect as long as that object exists, but may do so once it is deleted;
- *   <li>anything else (no object after a create or update, the expected version still there, the
- *       read failed): unknown, and the write may still take effect later. The failure stays {@link
+ *       StoreFailure#CONFLICT}). This is wrong only if more than 16 writes followed within the
+ *       call.
+ *   <li>After a delete, the object is absent or has another version: the delete took effect, or
+ *       another write preceded it. It completes normally.
+ *   <li>After a create, an object without the identifier exists: {@link
+ *       StoreFailure#ALREADY_EXISTS}. This is weaker than the contract of {@link ObjectStore}: the
+ *       create cannot take effect while that object exists, but may do so once it is deleted.
+ *   <li>Otherwise (no object after a create or update, unchanged version, failed read) the result
+ *       stays unknown, and the write may still take effect later. The failure remains {@link
  *       StoreFailure#UNKNOWN_RESULT}.
  * </ul>
  *
- * <p>Single objects must not be read from a lagging copy: one that lags makes the second point
+ * <p>Single objects must not be read from a lagging replica, which would make the second rule
  * wrong. Safe for use by any thread.
  */
 public final class ResolvingObjectStore implements ObjectStore {
@@ -81,8 +84,8 @@
       CompletableFuture<T> write, Function<Throwable, CompletableFuture<T>> readBack) {
     return write.exceptionallyCompose(
         failure -> {
-          Optional<StoreFailure> known = StoreException.failureOf(failure);
-          if (known.filter(StoreFailure.UNKNOWN_RESULT::equals).isPresent()) {
+          Optional<StoreFailure> storeFailure = StoreException.failureOf(failure);
+          if (storeFailure.filter(StoreFailure.UNKNOWN_RESULT::equals).isPresent()) {
             return readBack.apply(failure);
           }
           return CompletableFuture.failedFuture(failure);
@@ -90,28 +93,28 @@
   }
 
   private CompletableFuture<StoredObject> readBackCreate(
-      ObjectKey key, String writeIdentifier, Throwable unknown) {
-    return readBack(key, unknown)
-        .thenApply(found -> found.orElseThrow(() -> stillUnknown(key, "absent", unknown)))
-        .thenApply(found -> requireOwn(found, writeIdentifier, StoreFailure.ALREADY_EXISTS));
+      ObjectKey key, String writeIdentifier, Throwable cause) {
+    return readBack(key, cause)
+        .thenApply(found -> found.orElseThrow(() -> stillUnknown(key, "absent", cause)))
+        .thenApply(found -> requireWrite(found, writeIdentifier, StoreFailure.ALREADY_EXISTS));
   }
 
   private CompletableFuture<StoredObject> readBackUpdate(
-      StoredObject previous, String writeIdentifier, Throwable unknown) {
-    return readBack(previous.key(), unknown)
+      StoredObject previous, String writeIdentifier, Throwable cause) {
+    return readBack(previous.key(), cause)
         .thenApply(
             found -> {
               StoredObject current =
-                  found.orElseThrow(() -> stillUnknown(previous.key(), "absent", unknown));
+                  found.orElseThrow(() -> stillUnknown(previous.key(), "absent", cause));
               if (current.resourceVersion().equals(previous.resourceVersion())) {
-                throw stillUnknown(previous.key(), "unchanged", unknown);
+                throw stillUnknown(previous.key(), "unchanged", cause);
               }
-              return requireOwn(current, writeIdentifier, StoreFailure.CONFLICT);
+              return requireWrite(current, writeIdentifier, StoreFailure.CONFLICT);
             });
   }
 
-  private CompletableFuture<Void> readBackDelete(StoredObject previous, Throwable unknown) {
-    return readBack(previous.key(), unknown)
+  private CompletableFuture<Void> readBackDelete(StoredObject previous, Throwable cause) {
+    return readBack(previous.key(), cause)
         .thenAccept(
             found -> {
               boolean unchanged =
@@ -119,13 +122,13 @@
                       .filter(now -> now.resourceVersion().equals(previous.resourceVersion()))
                       .isPresent();
               if (unchanged) {
-                throw stillUnknown(previous.key(), "unchanged", unknown);
+                throw stillUnknown(previous.key(), "unchanged", cause);
               }
             });
   }
 
-  /** Reads an object; empty if there is none. */
-  private CompletableFuture<Optional<StoredObject>> readBack(ObjectKey key, Throwable unknown) {
+  /** Reads an object; empty if it does not exist. */
+  private CompletableFuture<Optional<StoredObject>> readBack(ObjectKey key, Throwable cause) {
     return store
         .get(key)
         .handle(
@@ -138,20 +141,23 @@
                   .isPresent()) {
                 return Optional.empty();
               }
-              throw stillUnknown(key, "unreadable", unknown);
+              throw stillUnknown(key, "unreadable", cause);
             });
   }
 
-  private static StoredObject requireOwn(
+  private static StoredObject requireWrite(
       StoredObject found, String writeIdentifier, StoreFailure otherwise) {
     if (found.writeIdentifiers().contains(writeIdentifier)) {
       return found;
     }
-    throw new StoreException(otherwise, found.key() + ": read back without the write");
+    throw new StoreException(
+        otherwise, found.key() + ": object read back does not contain the write");
   }
 
   private static StoreException stillUnknown(ObjectKey key, String found, Throwable cause) {
     return new StoreException(
-        StoreFailure.UNKNOWN_RESULT, key + ": result unknown, read back as " + found, cause);
+        StoreFailure.UNKNOWN_RESULT,
+        key + ": write result unknown; object read back is " + found,
+        cause);
   }
 }
--- a/store/src/main/java/org/agatefield/store/StatusTable.java
+++ b/store/src/main/java/org/agatefield/store/StatusTable.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * The table from the store's HTTP answers to failures.
+ * Maps HTTP responses of the store to failures.
  *
- * <p>Invariant: a write is only said to have had no effect where the answer proves it. A 503 proves
- * it only with a reason of the API itself; one from something in between may hide an effect.
- * Stateless and safe for use by any thread.
+ * <p>Invariant: a write is reported as having had no effect only if the response proves it. A 503
+ * proves it only with a reason set by the API itself; a 503 of an intermediary, such as a proxy,
+ * may hide a write that took effect. Stateless and safe for use by any thread.
  */
 final class StatusTable {
   private static final int FIRST_FAILURE_STATUS = 300;
@@ -18,7 +18,7 @@
 
   private StatusTable() {}
 
-  /** Does nothing if the call succeeded. */
+  /** Throws a {@link StoreException} if the call failed. */
   static void requireSuccess(
       boolean write, String subject, HttpCall.Answer answer, StoreDialect dialect) {
     if (answer.status() < FIRST_FAILURE_STATUS) {
@@ -30,7 +30,7 @@
     throw new StoreException(failure, subject + ": status " + answer.status() + " " + reason);
   }
 
-  /** Returns why a call with that answer failed. */
+  /** Returns the failure for a response status and reason. */
   static StoreFailure failureOf(boolean write, int status, String reason) {
     return switch (status) {
       case 404 -> StoreFailure.NOT_FOUND;
--- a/store/src/main/java/org/agatefield/store/StoreDialect.java
+++ b/store/src/main/java/org/agatefield/store/StoreDialect.java
@@ -5,21 +5,21 @@
 import java.util.Optional;
 
 /**
- * How an object API spells its paths, bodies, failures and watches.
+ * Defines the paths, bodies, failures and watches of an object API.
  *
- * <p>Implementations hold no state and are safe for use by any thread.
+ * <p>Implementations are stateless and safe for use by any thread.
  */
 public interface StoreDialect {
-  /** Returns the path that lists a kind and creates its objects. */
+  /** Returns the path for listing a kind and creating its objects. */
   String kindPath(ObjectKind kind);
 
   /** Returns the path of a page of at most {@code limit} objects. */
   String pagePath(ObjectKind kind, int limit, Optional<String> continueToken);
 
-  /** Returns the path of the page after one that was read with {@link #kindPath}. */
+  /** Returns the path of the page after one read with {@link #kindPath}. */
   String nextPagePath(ObjectKind kind, String continueToken);
 
-  /** Returns the path that reads and replaces an object. */
+  /** Returns the path for reading and replacing an object. */
   String objectPath(ObjectKey key);
 
   /** Returns the path of a conditional delete. */
@@ -34,19 +34,19 @@
   /** Returns the body of a conditional delete. */
   Buffer encodeDelete(StoredObject previous);
 
-  /** Reads an object; empty if {@code root} is none. */
+  /** Decodes an object; empty if {@code root} is not an object of the store. */
   Optional<StoredObject> decodeObject(ObjectKind kind, JsonNode root);
 
-  /** Reads a page of a list; empty if {@code root} is none. */
+  /** Decodes a page of a list; empty if {@code root} is not a page. */
   Optional<ObjectPage> decodePage(ObjectKind kind, JsonNode root);
 
   /**
-   * Returns why a call failed.
+   * Returns the failure for a response status and body.
    *
-   * @param body the answer's body; missing if it is no JSON
+   * @param body the response body; a missing node if it is not JSON
    */
   StoreFailure failureOf(boolean write, int status, JsonNode body);
 
-  /** Starts a watch; closing the result ends it. */
+  /** Starts a watch, which ends when the result is closed. */
   AutoCloseable watch(WatchCall call);
 }
--- a/store/src/main/java/org/agatefield/store/StoreException.java
+++ b/store/src/main/java/org/agatefield/store/StoreException.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletionException;
 
-/** A failed call of the object store. Immutable. */
+/** Signals a failed call of the object store. Immutable. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -26,7 +26,7 @@
     return failure;
   }
 
-  /** Returns the store's failure inside {@code throwable}, if it is one. */
+  /** Returns the failure of the {@link StoreException} wrapped by {@code throwable}, if any. */
   public static Optional<StoreFailure> failureOf(Throwable throwable) {
     Throwable unwrapped = throwable;
     while (unwrapped instanceof CompletionException && unwrapped.getCause() != null) {
--- a/store/src/main/java/org/agatefield/store/StoreFailure.java
+++ b/store/src/main/java/org/agatefield/store/StoreFailure.java
@@ -1,6 +1,6 @@
 package org.agatefield.store;
 
-/** Why a call of the object store failed. */
+/** The reasons for which a call of the object store fails. */
 public enum StoreFailure {
   /** An object of that name exists; a create had no effect. */
   ALREADY_EXISTS,
@@ -10,10 +10,10 @@
   NOT_FOUND,
   /** The object exceeds the store's limit of one megabyte; the write had no effect. */
   TOO_LARGE,
-  /** The store refused or could not be reached; the call had no effect and never will. */
+  /** The store refused the call or is unreachable; the call had no effect and never will. */
   UNAVAILABLE,
-  /** No answer came: a write may have taken effect, or may yet take effect. */
+  /** No response was received: a write may have taken effect or may still do so. */
   UNKNOWN_RESULT,
-  /** The version that a watch or list asked for is no longer kept; list again. */
+  /** The version requested by a watch or list is no longer available; list again. */
   VERSION_GONE
 }
--- a/store/src/main/java/org/agatefield/store/StoreInstanceList.java
+++ b/store/src/main/java/org/agatefield/store/StoreInstanceList.java
@@ -18,9 +18,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The instance list as objects of the kind {@link ObjectKind#INSTANCE}.
+ * Reads the instance list from store objects of the kind {@link ObjectKind#INSTANCE}.
  *
- * <p>An object that cannot be read is left out and logged. Safe for use by any thread.
+ * <p>Malformed objects are skipped and logged. Safe for use by any thread.
  */
 public final class StoreInstanceList implements InstanceList, AutoCloseable {
   private static final Logger LOGGER = LogManager.getLogger(StoreInstanceList.class);
@@ -30,7 +30,7 @@
   private volatile Snapshot current = Snapshot.EMPTY;
 
   /**
-   * Starts to follow the list.
+   * Starts watching the list.
    *
    * @param pollInterval how often the list is read although its watch is quiet
    */
@@ -84,7 +84,7 @@
           entries.add(readEntry(each.getKey(), content, state));
         }
       } catch (IllegalArgumentException exception) {
-        LOGGER.warn("instance list has an unreadable object name={}", each.getKey(), exception);
+        LOGGER.warn("skipping malformed object in instance list name={}", each.getKey(), exception);
       }
     }
     return new Snapshot(entries, live, leaving);
--- a/store/src/main/java/org/agatefield/store/StoredObject.java
+++ b/store/src/main/java/org/agatefield/store/StoredObject.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * An object as the store returned it. Immutable as long as nobody changes {@code content}.
+ * An object returned by the store. Immutable as long as {@code content} is not modified.
  *
- * @param key the identity
- * @param resourceVersion the store's version of the object, opaque but for equality
+ * @param key the object's key
+ * @param resourceVersion the store's version of the object, only to be compared for equality
  * @param writeIdentifiers identifiers of the writes that made the object, newest first, at most 16
- * @param content the object's own part
+ * @param content the object's content, without metadata
  */
 public record StoredObject(
     ObjectKey key, String resourceVersion, List<String> writeIdentifiers, JsonNode content) {
--- a/store/src/main/java/org/agatefield/store/WatchCall.java
+++ b/store/src/main/java/org/agatefield/store/WatchCall.java
@@ -7,14 +7,14 @@
 import java.util.function.BiFunction;
 
 /**
- * What a watch needs to call the store. Immutable.
+ * The parameters of a watch. Immutable.
  *
  * @param vertx runs the timers
- * @param client carries the calls
- * @param options makes the request to a method and a path
+ * @param client performs the calls
+ * @param options creates the request options for a method and a path
  * @param kind the kind to watch
  * @param fromVersion the version after which changes are reported
- * @param listener told of the changes
+ * @param listener receives the changes
  */
 public record WatchCall(
     Vertx vertx,
--- a/store/src/main/java/org/agatefield/store/WatchListener.java
+++ b/store/src/main/java/org/agatefield/store/WatchListener.java
@@ -1,16 +1,16 @@
 package org.agatefield.store;
 
-/** Receives the changes of a watch, one at a time in the store's order. */
+/** Receives the events of a watch, one call at a time, in the store's order. */
 public interface WatchListener {
-  /** An object was created or replaced. */
+  /** Called when an object was created or replaced. */
   void changed(StoredObject object);
 
-  /** An object was deleted. */
+  /** Called when an object was deleted. */
   void deleted(ObjectKey key, String resourceVersion);
 
-  /** Every change up to that version has been reported. */
+  /** Called when all changes up to a version have been reported. */
   default void reached(String resourceVersion) {}
 
-  /** The watch has ended and reports no more; {@code failure} says why. */
+  /** Called when the watch has failed; no further calls follow. */
   void ended(StoreException failure);
 }
--- a/store/src/main/java/org/agatefield/store/package-info.java
+++ b/store/src/main/java/org/agatefield/store/package-info.java
@@ -1,2 +1,2 @@
-/** The client side of the platform's object API and of its instance list. */
+/** Clients of the platform's object API and instance list. */
 package org.agatefield.store;
--- a/store/src/test/java/org/agatefield/store/CircuitBreakingStoreTest.java
+++ b/store/src/test/java/org/agatefield/store/CircuitBreakingStoreTest.java
@@ -16,32 +16,32 @@
     }
   }
 
-  private void answerForever(Object answer) {
+  private void respondAlways(Object answer) {
     for (int call = 0; call < 1_000; call++) {
       store.then(answer);
     }
   }
 
   @Test
-  void silentStoreIsNotCalledAgainDuringThePause() {
-    answerForever(StoreFailure.UNAVAILABLE);
+  void unavailableStoreIsNotCalledDuringPause() {
+    respondAlways(StoreFailure.UNAVAILABLE);
     call(new CircuitBreakingStore(store, Duration.ofHours(1)), 500);
     assertEquals(8, store.calls);
   }
 
   @Test
-  void storeThatAnswersIsAlwaysCalled() {
-    answerForever(StoreFailure.NOT_FOUND);
+  void respondingStoreIsAlwaysCalled() {
+    respondAlways(StoreFailure.NOT_FOUND);
     call(new CircuitBreakingStore(store, Duration.ofHours(1)), 500);
     assertEquals(500, store.calls);
   }
 
   @Test
-  void successAfterThePauseClosesTheBreaker() {
+  void successAfterPauseClosesBreaker() {
     for (int call = 0; call < 8; call++) {
       store.then(StoreFailure.UNKNOWN_RESULT);
     }
-    answerForever(StoreFailure.NOT_FOUND);
+    respondAlways(StoreFailure.NOT_FOUND);
     CircuitBreakingStore breaking = new CircuitBreakingStore(store, Duration.ofNanos(2));
     while (store.calls < 500) {
       breaking.get(KEY);
--- a/store/src/test/java/org/agatefield/store/ResolvingObjectStoreTest.java
+++ b/store/src/test/java/org/agatefield/store/ResolvingObjectStoreTest.java
@@ -38,61 +38,61 @@
   }
 
   @Test
-  void createThatIsReadBackTookEffect() throws Exception {
+  void createSucceedsIfObjectContainsItsIdentifier() throws Exception {
     store.then(object("7", "later", "mine"));
     assertEquals(object("7", "later", "mine"), create().get());
   }
 
   @Test
-  void createOfAnotherIsReadBackAsExisting() throws Exception {
+  void createFailsAsExistingIfObjectLacksItsIdentifier() throws Exception {
     store.then(object("7", "other"));
     assertEquals(Optional.of(StoreFailure.ALREADY_EXISTS), failureOf(create()));
   }
 
   @Test
-  void absentCreateStaysUnknown() throws Exception {
+  void createStaysUnknownIfObjectIsAbsent() throws Exception {
     store.then(StoreFailure.NOT_FOUND);
     assertEquals(Optional.of(StoreFailure.UNKNOWN_RESULT), failureOf(create()));
   }
 
   @Test
-  void unreadableCreateStaysUnknown() throws Exception {
+  void createStaysUnknownIfReadFails() throws Exception {
     store.then(StoreFailure.UNAVAILABLE);
     assertEquals(Optional.of(StoreFailure.UNKNOWN_RESULT), failureOf(create()));
   }
 
   @Test
-  void updateThatIsReadBackTookEffect() throws Exception {
+  void updateSucceedsIfObjectContainsItsIdentifier() throws Exception {
     store.then(object("2", "mine"));
     assertEquals(object("2", "mine"), update().get());
   }
 
   @Test
-  void updateOvertakenByAnotherConflicts() throws Exception {
+  void updateConflictsIfAnotherWritePrecededIt() throws Exception {
     store.then(object("2", "other"));
     assertEquals(Optional.of(StoreFailure.CONFLICT), failureOf(update()));
   }
 
   @Test
-  void updateOfUnchangedObjectStaysUnknown() throws Exception {
+  void updateStaysUnknownIfObjectIsUnchanged() throws Exception {
     store.then(object("1"));
     assertEquals(Optional.of(StoreFailure.UNKNOWN_RESULT), failureOf(update()));
   }
 
   @Test
-  void updateOfVanishedObjectStaysUnknown() throws Exception {
+  void updateStaysUnknownIfObjectIsAbsent() throws Exception {
     store.then(StoreFailure.NOT_FOUND);
     assertEquals(Optional.of(StoreFailure.UNKNOWN_RESULT), failureOf(update()));
   }
 
   @Test
-  void deleteThatIsReadBackAsAbsentIsDone() throws Exception {
+  void deleteSucceedsIfObjectIsAbsent() throws Exception {
     store.then(StoreFailure.NOT_FOUND);
     assertEquals(Optional.empty(), failureOf(resolving.delete(object("1"))));
   }
 
   @Test
-  void deleteOfUnchangedObjectStaysUnknown() throws Exception {
+  void deleteStaysUnknownIfObjectIsUnchanged() throws Exception {
     store.then(object("1"));
     assertEquals(
         Optional.of(StoreFailure.UNKNOWN_RESULT), failureOf(resolving.delete(object("1"))));
--- a/store/src/test/java/org/agatefield/store/ScriptedStore.java
+++ b/store/src/test/java/org/agatefield/store/ScriptedStore.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Answers calls with what a test has laid ready, in order. Used from one thread. */
+/** Fake store that returns prepared results in order. Not thread-safe. */
 final class ScriptedStore implements ObjectStore {
   final Deque<Object> answers = new ArrayDeque<>();
   int calls;
--- a/store/src/test/java/org/agatefield/store/StatusTableTest.java
+++ b/store/src/test/java/org/agatefield/store/StatusTableTest.java
@@ -6,13 +6,13 @@
 
 class StatusTableTest {
   @Test
-  void refusalByTheApiItselfProvesThatWriteHadNoEffect() {
+  void refusalOfApiItselfProvesThatWriteHadNoEffect() {
     assertEquals(StoreFailure.UNAVAILABLE, StatusTable.failureOf(true, 503, "ServiceUnavailable"));
     assertEquals(StoreFailure.UNAVAILABLE, StatusTable.failureOf(true, 429, ""));
   }
 
   @Test
-  void errorOfSomethingInBetweenLeavesWriteUnknown() {
+  void errorOfIntermediaryLeavesWriteResultUnknown() {
     assertEquals(StoreFailure.UNKNOWN_RESULT, StatusTable.failureOf(true, 503, ""));
     assertEquals(StoreFailure.UNKNOWN_RESULT, StatusTable.failureOf(true, 502, ""));
     assertEquals(StoreFailure.UNKNOWN_RESULT, StatusTable.failureOf(true, 504, "Timeout"));
@@ -20,13 +20,13 @@
   }
 
   @Test
-  void failedReadNeverHasAnEffect() {
+  void failedReadIsNeverUnknown() {
     assertEquals(StoreFailure.UNAVAILABLE, StatusTable.failureOf(false, 503, ""));
     assertEquals(StoreFailure.UNAVAILABLE, StatusTable.failureOf(false, 500, ""));
   }
 
   @Test
-  void conflictsAreToldApart() {
+  void clientErrorsMapToDistinctFailures() {
     assertEquals(StoreFailure.ALREADY_EXISTS, StatusTable.failureOf(true, 409, "AlreadyExists"));
     assertEquals(StoreFailure.CONFLICT, StatusTable.failureOf(true, 409, "Conflict"));
     assertEquals(StoreFailure.VERSION_GONE, StatusTable.failureOf(false, 410, "Expired"));
