--- a/engine/src/main/java/org/agatefield/engine/AnswerChecker.java
+++ b/engine/src/main/java/org/agatefield/engine/AnswerChecker.java
@@ -8,11 +8,11 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * Decides what of an answer is delivered and whether the answer is whole.
+ * Decides which parts of an engine's response are delivered and whether the response is complete.
  *
- * <p>Invariants: a part that names another attempt is never given out; {@link #isWhole()} is true
- * only after a finish reason and the end marker, and nothing is given out after the end marker. Not
- * safe for use by several threads.
+ * <p>Invariants: a part that carries the identifier of another attempt is never returned; {@link
+ * #isWhole()} is true only after a finish reason and the end marker, and nothing is returned after
+ * the end marker. Not safe for use by several threads.
  */
 final class AnswerChecker {
   private static final String END_MARKER = "[DONE]";
@@ -26,9 +26,9 @@
   private boolean crossed;
 
   /**
-   * Creates a checker of one answer.
+   * Creates a checker for one response.
    *
-   * @param firstToken the number of tokens that were delivered by earlier attempts
+   * @param firstToken the number of tokens that earlier attempts delivered
    */
   AnswerChecker(String attemptIdentifier, int firstToken, Set<AnswerRule> rules) {
     this.attemptIdentifier = attemptIdentifier;
@@ -36,17 +36,17 @@
     this.rules = rules;
   }
 
-  /** Checks the response header that names the attempt. */
+  /** Checks the response header that identifies the attempt. */
   void head(String requestIdHeader) {
     if (!attemptIdentifier.equals(requestIdHeader)) {
-      refuseCrossed("the answer's header names request '" + requestIdHeader + "'");
+      rejectCrossed("response header identifies request '" + requestIdHeader + "'");
     }
   }
 
-  /** Returns the part to deliver for an event; nothing for the end marker. */
+  /** Returns the part to deliver for an event; empty for the end marker. */
   Optional<EngineAnswerPart> event(ServerSentEvent event) {
     if (endMarker) {
-      throw cut("an event came after the end marker");
+      throw cut("event received after the end marker");
     }
     String name = event.id();
     int separator = name.lastIndexOf(TOKENS_SEPARATOR);
@@ -55,31 +55,31 @@
       return Optional.empty();
     }
     AnswerScanner scanner = scan(event.data());
-    String named = separator < 0 ? name : name.substring(0, separator);
-    checkAttempt(named, scanner);
+    String eventAttempt = separator < 0 ? name : name.substring(0, separator);
+    checkAttempt(eventAttempt, scanner);
     countTokens(separator < 0 ? "" : name.substring(separator + 1), scanner);
     finished |= scanner.finished();
     return Optional.of(part(event.data(), scanner));
   }
 
-  /** Returns the one part of an answer that is not a stream. */
+  /** Returns the only part of a response that is not a stream. */
   EngineAnswerPart whole(Buffer body) {
     AnswerScanner scanner = scan(body);
     checkAttempt("", scanner);
     if (!scanner.finished()) {
-      throw cut("the answer has no finish reason");
+      throw cut("response has no finish reason");
     }
     finished = true;
     endMarker = true;
     return part(body, scanner);
   }
 
-  /** Returns whether the stream may be delivered as a success, should it end now. */
+  /** Returns whether the stream is complete if it ends now. */
   boolean isWhole() {
     return !rules.contains(AnswerRule.END_MARKER) || (finished && endMarker);
   }
 
-  /** Returns whether something came that names another attempt. */
+  /** Returns whether data with the identifier of another attempt was received. */
   boolean isCrossed() {
     return crossed;
   }
@@ -93,36 +93,39 @@
     try {
       scanner = AnswerScanner.scan(data);
     } catch (IOException exception) {
-      throw cut("the answer is not valid JSON: " + exception.getMessage());
+      throw cut("response is not valid JSON: " + exception.getMessage());
     }
     if (scanner.hasError()) {
-      throw cut("the engine ended its answer with an error: " + data);
+      throw cut("response ended with an error of the engine: " + data);
     }
     return scanner;
   }
 
   private void checkAttempt(String eventId, AnswerScanner scanner) {
-    boolean named =
-        names(eventId) || names(scanner.requestId()) || namedByIdentifier(scanner.idText());
-    boolean contradicted = contradicts(eventId) || contradicts(scanner.requestId());
-    if (contradicted || !named) {
-      refuseCrossed("a part of the answer names '" + eventId + "', '" + scanner.idText() + "'");
+    boolean matched =
+        matchesAttempt(eventId)
+            || matchesAttempt(scanner.requestId())
+            || endsWithAttempt(scanner.idText());
+    boolean mismatched = mismatches(eventId) || mismatches(scanner.requestId());
+    if (mismatched || !matched) {
+      rejectCrossed(
+          "part of the response identifies '" + eventId + "', '" + scanner.idText() + "'");
     }
   }
 
-  private boolean names(String name) {
+  private boolean matchesAttempt(String name) {
     return attemptIdentifier.equals(name);
   }
 
-  private boolean contradicts(String name) {
-    return !name.isEmpty() && !names(name);
+  private boolean mismatches(String name) {
+    return !name.isEmpty() && !matchesAttempt(name);
   }
 
-  private boolean namedByIdentifier(String identifier) {
+  private boolean endsWithAttempt(String identifier) {
     return identifier.endsWith(attemptIdentifier);
   }
 
-  private void refuseCrossed(String what) {
+  private void rejectCrossed(String what) {
     crossed = true;
     if (rules.contains(AnswerRule.ATTEMPT_IDENTIFIER)) {
       throw cut(what + " instead of " + attemptIdentifier);
@@ -134,7 +137,7 @@
       try {
         tokens = Integer.parseInt(position);
       } catch (NumberFormatException exception) {
-        throw cut("the event's position '" + position + "' is not a number");
+        throw cut("token position '" + position + "' is not a number");
       }
     } else if (scanner.hasContent()) {
       tokens++;
--- a/engine/src/main/java/org/agatefield/engine/AnswerRule.java
+++ b/engine/src/main/java/org/agatefield/engine/AnswerRule.java
@@ -1,9 +1,9 @@
 package org.agatefield.engine;
 
-/** The rules that an answer must keep to be delivered as whole; tests switch single ones off. */
+/** The rules for delivering a response as complete; tests disable single rules. */
 enum AnswerRule {
-  /** Everything that comes back names the attempt that it answers. */
+  /** Every part of a response carries the identifier of its attempt. */
   ATTEMPT_IDENTIFIER,
-  /** A stream is whole only with a finish reason and then its end marker. */
+  /** A stream is complete only after a finish reason followed by the end marker. */
   END_MARKER
 }
--- a/engine/src/main/java/org/agatefield/engine/AnswerScanner.java
+++ b/engine/src/main/java/org/agatefield/engine/AnswerScanner.java
@@ -7,10 +7,10 @@
 import java.io.IOException;
 
 /**
- * Reads what the client needs to know of one JSON object of an answer, in one pass.
+ * Extracts the fields that the client needs from one JSON object of a response, in one pass.
  *
- * <p>Invariant: an object is accepted only if it is whole and nothing follows it. Used for one
- * object; not safe for use by several threads.
+ * <p>Invariant: an object is accepted only if it is complete and nothing follows it. A scanner is
+ * used for one object; not safe for use by several threads.
  */
 final class AnswerScanner {
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -26,21 +26,21 @@
   private AnswerScanner() {}
 
   /**
-   * Reads an object.
+   * Scans an object.
    *
-   * @throws IOException if it is not one whole JSON object
+   * @throws IOException if {@code data} is not exactly one JSON object
    */
   static AnswerScanner scan(Buffer data) throws IOException {
     AnswerScanner scanner = new AnswerScanner();
     try (JsonParser parser = FACTORY.createParser(data.getBytes())) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new IOException("the answer is not a JSON object");
+        throw new IOException("not a JSON object");
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
-        scanner.field(parser);
+        scanner.readField(parser);
       }
       if (parser.nextToken() != null) {
-        throw new IOException("something follows the JSON object");
+        throw new IOException("unexpected data after the JSON object");
       }
     }
     return scanner;
@@ -76,20 +76,20 @@
     return hasError;
   }
 
-  private void field(JsonParser parser) throws IOException {
+  private void readField(JsonParser parser) throws IOException {
     String name = parser.currentName();
     JsonToken value = parser.nextToken();
     switch (name) {
       case "id" -> {
         idText = parser.getText();
-        id = range(parser);
+        id = tokenRange(parser);
       }
       case "request_id" -> requestId = parser.getText();
       case "model" -> {
         parser.getText();
-        model = range(parser);
+        model = tokenRange(parser);
       }
-      case "choices" -> choices(parser);
+      case "choices" -> readChoices(parser);
       case "error" -> {
         hasError = value != JsonToken.VALUE_NULL;
         parser.skipChildren();
@@ -98,35 +98,35 @@
     }
   }
 
-  private static ByteRange range(JsonParser parser) {
+  private static ByteRange tokenRange(JsonParser parser) {
     return new ByteRange(
         (int) parser.currentTokenLocation().getByteOffset(),
         (int) parser.currentLocation().getByteOffset());
   }
 
-  private void choices(JsonParser parser) throws IOException {
+  private void readChoices(JsonParser parser) throws IOException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
       return;
     }
     while (parser.nextToken() == JsonToken.START_OBJECT) {
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
-        choiceField(parser);
+        readChoiceField(parser);
       }
     }
   }
 
-  private void choiceField(JsonParser parser) throws IOException {
+  private void readChoiceField(JsonParser parser) throws IOException {
     String name = parser.currentName();
     JsonToken value = parser.nextToken();
     switch (name) {
       case "finish_reason" -> finished |= value == JsonToken.VALUE_STRING;
       case "text" -> hasContent |= value == JsonToken.VALUE_STRING && parser.getTextLength() > 0;
-      case "delta" -> delta(parser);
+      case "delta" -> readDelta(parser);
       default -> parser.skipChildren();
     }
   }
 
-  private void delta(JsonParser parser) throws IOException {
+  private void readDelta(JsonParser parser) throws IOException {
     if (parser.currentToken() != JsonToken.START_OBJECT) {
       return;
     }
--- a/engine/src/main/java/org/agatefield/engine/EngineAnswerListener.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineAnswerListener.java
@@ -3,22 +3,23 @@
 import org.agatefield.model.AgatefieldException;
 
 /**
- * Receives the answer of a generation, one call at a time.
+ * Receives the response of a generation, one call at a time.
  *
- * <p>Invariant: after {@link #head}, any number of {@link #part}, then exactly one of {@link
- * #ended} and {@link #failed}; {@link #failed} may come first. Parts of another attempt never
- * arrive. An answer that is not a stream comes as one part, after it was checked whole.
+ * <p>Invariant: {@link #head} is followed by any number of {@link #part} and then exactly one of
+ * {@link #ended} and {@link #failed}; {@link #failed} may also be the first call. Parts of other
+ * attempts are never delivered. A response that is not a stream is delivered as one part, after it
+ * was completely checked.
  */
 public interface EngineAnswerListener {
-  /** The engine accepted the request and begins to answer with this content type. */
+  /** Called when the engine has accepted the request and starts a response of a content type. */
   void head(String contentType);
 
-  /** A whole part of the answer came. */
+  /** Called for each complete part of the response. */
   void part(EngineAnswerPart part);
 
-  /** The whole answer came, with its end marker. */
+  /** Called when the response is complete, including its end marker. */
   void ended();
 
-  /** The answer is not whole; the failure says whether the engine ran the request. */
+  /** Called if the response is incomplete; {@code failure} has the request's run state. */
   void failed(AgatefieldException failure);
 }
--- a/engine/src/main/java/org/agatefield/engine/EngineAnswerPart.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineAnswerPart.java
@@ -3,24 +3,24 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * One whole JSON object of an answer: the data of a server-sent event, or the whole answer.
+ * One JSON object of a response: the data of a server-sent event, or the complete response.
  *
- * <p>Immutable as long as nobody changes {@code data}.
+ * <p>Immutable as long as {@code data} is not modified.
  *
- * @param data the object as the engine wrote it
- * @param id where the value of the top-level {@code id} lies, with its quotes
- * @param model where the value of the top-level {@code model} lies, with its quotes
- * @param tokens tokens of the answer so far, this part included, counted from the request's start
+ * @param data the object as sent by the engine
+ * @param id the position of the value of the top-level {@code id}, including quotes
+ * @param model the position of the value of the top-level {@code model}, including quotes
+ * @param tokens the number of tokens up to and including this part, over all attempts
  * @param finished whether a choice has a finish reason
  */
 public record EngineAnswerPart(
     Buffer data, ByteRange id, ByteRange model, int tokens, boolean finished) {
 
   /**
-   * Returns the object with other values in place of its identifier and model.
+   * Returns the object with its identifier and model replaced.
    *
-   * @param newId the identifier as a JSON string, with its quotes
-   * @param newModel the model as a JSON string, with its quotes
+   * @param newId the identifier as a JSON string, including quotes
+   * @param newModel the model as a JSON string, including quotes
    */
   public Buffer renamed(Buffer newId, Buffer newModel) {
     Buffer result = Buffer.buffer(data.length() + newId.length() + newModel.length());
--- a/engine/src/main/java/org/agatefield/engine/EngineCall.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineCall.java
@@ -2,12 +2,12 @@
 
 /** A running generation. Safe for use by any thread. */
 public interface EngineCall {
-  /** Ends the generation at the engine; the listener hears nothing more. */
+  /** Cancels the generation at the engine; the listener is not called again. */
   void cancel();
 
-  /** Stops reading the answer until {@link #resume()}. */
+  /** Stops reading the response until {@link #resume()}. */
   void pause();
 
-  /** Goes on reading the answer. */
+  /** Continues reading the response. */
   void resume();
 }
--- a/engine/src/main/java/org/agatefield/engine/EngineClient.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineClient.java
@@ -6,17 +6,17 @@
 
 /** A client of model engines. Safe for use by any thread; futures may complete on any thread. */
 public interface EngineClient {
-  /** Reads what an engine says of itself. */
+  /** Requests the load report of an engine. */
   CompletableFuture<LoadReport> loadReport(Address engine);
 
   /**
    * Sends an order and waits for its result.
    *
-   * <p>A future that fails with {@link org.agatefield.model.AgatefieldException} says nothing about
-   * the order unless its run state is {@code NO}: the order may yet take effect.
+   * <p>If the future fails with {@link org.agatefield.model.AgatefieldException}, the order may
+   * still take effect unless the run state is {@code NO}.
    */
   CompletableFuture<OrderResult> order(Address engine, EngineOrder order);
 
-  /** Starts a generation; its answer goes to {@code listener} part by part. */
+  /** Starts a generation, whose response is passed to {@code listener} part by part. */
   EngineCall generate(Address engine, EngineRequest request, EngineAnswerListener listener);
 }
--- a/engine/src/main/java/org/agatefield/engine/EngineClientOptions.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineClientOptions.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * Bounds of the client of model engines. Immutable.
+ * Timeouts and limits of the client of model engines. Immutable.
  *
- * @param connectTimeout how long a connection may take to be made
- * @param loadReportTimeout how long a load report may take
- * @param orderTimeout how long an order may take, loading included, before its result is unknown
- * @param idleTimeout how long an engine may send nothing in the middle of a stream
- * @param maximumAnswerBytes largest answer that is not a stream
- * @param maximumEventBytes largest server-sent event
- * @param connectionsPerEngine most connections to one engine
+ * @param connectTimeout the timeout for establishing a connection
+ * @param loadReportTimeout the timeout of a load report
+ * @param orderTimeout the timeout of an order, including loading, after which its result is unknown
+ * @param idleTimeout the maximum time without data during a response
+ * @param maximumAnswerBytes the maximum size of a response that is not a stream
+ * @param maximumEventBytes the maximum size of a server-sent event
+ * @param connectionsPerEngine the maximum number of connections to one engine
  */
 public record EngineClientOptions(
     Duration connectTimeout,
@@ -22,7 +22,7 @@
     int maximumEventBytes,
     int connectionsPerEngine) {
 
-  /** Returns options that suit engines in the same region. */
+  /** Returns options for engines in the same region. */
   public static EngineClientOptions standard() {
     return new EngineClientOptions(
         Duration.ofSeconds(1),
--- a/engine/src/main/java/org/agatefield/engine/EngineRefusal.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineRefusal.java
@@ -3,7 +3,7 @@
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
-/** An engine refused a request before running any of it. Immutable. */
+/** Signals that an engine refused a request without executing it. Immutable. */
 public final class EngineRefusal extends AgatefieldException {
   private static final long serialVersionUID = 1L;
 
--- a/engine/src/main/java/org/agatefield/engine/EngineRefusalReason.java
+++ b/engine/src/main/java/org/agatefield/engine/EngineRefusalReason.java
@@ -1,13 +1,13 @@
 package org.agatefield.engine;
 
-/** Why an engine refused a request. */
+/** The reasons for which an engine refuses a request. */
 public enum EngineRefusalReason {
   /** The adapter is not loaded; its base version may be. */
   ADAPTER_NOT_LOADED,
   /** The version is not loaded. */
   VERSION_NOT_LOADED,
-  /** The engine has more work than it takes. */
+  /** The engine is at its capacity limit. */
   OVERLOADED,
-  /** The request breaks a rule of the engine. */
+  /** The request is invalid for the engine. */
   INVALID
 }
--- a/engine/src/main/java/org/agatefield/engine/EventParser.java
+++ b/engine/src/main/java/org/agatefield/engine/EventParser.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 
 /**
- * Splits the bytes of an event stream into server-sent events.
+ * Parses the bytes of an event stream into server-sent events.
  *
- * <p>Invariant: the events do not depend on how the bytes are split into buffers; an event without
- * its closing empty line is never given out. Lines end with a line feed, with or without a carriage
- * return before it. Not safe for use by several threads.
+ * <p>Invariants: the events do not depend on how the bytes are split into buffers; an event without
+ * its terminating empty line is never emitted. Lines end with a line feed, optionally preceded by a
+ * carriage return. Not safe for use by several threads.
  */
 final class EventParser {
   private static final String DATA_FIELD = "data";
@@ -24,12 +24,12 @@
   EventParser(int maximumEventBytes, Consumer<ServerSentEvent> events) {
     this.events = events;
     this.maximumEventBytes = maximumEventBytes;
-    this.lines = RecordParser.newDelimited("\n", this::line);
+    this.lines = RecordParser.newDelimited("\n", this::handleLine);
     this.lines.maxRecordSize(maximumEventBytes);
   }
 
   /**
-   * Takes the next bytes.
+   * Parses the next bytes.
    *
    * @throws IllegalStateException if a line or an event exceeds the limit
    */
@@ -37,8 +37,8 @@
     lines.handle(bytes);
   }
 
-  private void line(Buffer raw) {
-    Buffer line = withoutCarriageReturn(raw);
+  private void handleLine(Buffer raw) {
+    Buffer line = stripCarriageReturn(raw);
     if (line.length() == 0) {
       endEvent();
       return;
@@ -63,7 +63,7 @@
       data.appendByte((byte) '\n').appendBuffer(value);
     }
     if (data.length() > maximumEventBytes) {
-      throw new IllegalStateException("an event exceeds " + maximumEventBytes + " bytes");
+      throw new IllegalStateException("event exceeds " + maximumEventBytes + " bytes");
     }
   }
 
@@ -78,7 +78,7 @@
     id = "";
   }
 
-  private static Buffer withoutCarriageReturn(Buffer line) {
+  private static Buffer stripCarriageReturn(Buffer line) {
     int last = line.length() - 1;
     if (last >= 0 && line.getByte(last) == '\r') {
       return line.slice(0, last);
--- a/engine/src/main/java/org/agatefield/engine/HttpEngineClient.java
+++ b/engine/src/main/java/org/agatefield/engine/HttpEngineClient.java
@@ -26,11 +26,11 @@
 import org.agatefield.model.LoadReport;
 
 /**
- * A client of engines that speak the OpenAI-compatible HTTP interface with event streams.
+ * Client of engines with an OpenAI-compatible HTTP interface and event streams.
  *
- * <p>Invariant: what a listener hears as whole came with its end marker and names the listener's
- * attempt throughout. Safe for use by any thread; a generation's listener is called on the Vert.x
- * context that {@link #generate} was called on.
+ * <p>Invariant: a response reported as complete had its end marker and carried the identifier of
+ * its attempt in every part. Safe for use by any thread; a generation's listener is called on the
+ * Vert.x context that {@link #generate} was called on.
  */
 public final class HttpEngineClient implements EngineClient, AutoCloseable {
   private static final ObjectMapper MAPPER =
@@ -62,7 +62,7 @@
             clientOptions, new PoolOptions().setHttp1MaxSize(options.connectionsPerEngine()));
   }
 
-  /** Returns how many answers came that named another attempt and were dropped. */
+  /** Returns the number of responses dropped because they identified another attempt. */
   public long crossedAnswers() {
     return crossedAnswers.get();
   }
@@ -83,7 +83,7 @@
   public EngineCall generate(Address engine, EngineRequest request, EngineAnswerListener listener) {
     Context context = vertx.getOrCreateContext();
     HttpGeneration generation = new HttpGeneration(vertx, context, this, engine, request, listener);
-    generation.begin();
+    generation.start();
     return generation;
   }
 
@@ -100,7 +100,7 @@
     return rules;
   }
 
-  void countCrossed() {
+  void countCrossedAnswer() {
     crossedAnswers.incrementAndGet();
   }
 
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Tells an engine to stop work on a request; a lost message is made up for by the closed one. */
+  /** Cancels a request at an engine; if this call is lost, the closed connection cancels it too. */
   void sendCancel(Address engine, String attemptIdentifier) {
     connect(engine, HttpMethod.POST, "/requests/" + attemptIdentifier + "/cancel")
         .compose(HttpClientRequest::send)
@@ -130,7 +130,7 @@
       Address engine, HttpMethod method, String path, Buffer body, Duration timeout) {
     CompletableFuture<Buffer> result = new CompletableFuture<>();
     connect(engine, method, path)
-        .onFailure(failure -> result.completeExceptionally(notConnected(engine, failure)))
+        .onFailure(failure -> result.completeExceptionally(connectFailed(engine, failure)))
         .onSuccess(
             request -> {
               request.putHeader("content-type", "application/json");
@@ -156,9 +156,9 @@
     return response.body();
   }
 
-  static AgatefieldException notConnected(Address engine, Throwable failure) {
+  static AgatefieldException connectFailed(Address engine, Throwable failure) {
     return new AgatefieldException(
-        ErrorKind.NO_UPSTREAM, "no connection to the engine at " + engine, failure);
+        ErrorKind.NO_UPSTREAM, "cannot connect to the engine at " + engine, failure);
   }
 
   static AgatefieldException failed(Address engine, Throwable failure) {
@@ -172,7 +172,7 @@
     try {
       return Buffer.buffer(MAPPER.writeValueAsBytes(order));
     } catch (IOException exception) {
-      throw new IllegalStateException("an order cannot be written as JSON", exception);
+      throw new IllegalStateException("order cannot be encoded as JSON", exception);
     }
   }
 
@@ -182,15 +182,15 @@
     } catch (IOException exception) {
       throw new AgatefieldException(
           ErrorKind.UPSTREAM_FAILED,
-          "the engine's answer is malformed: " + exception.getMessage(),
+          "malformed response of the engine: " + exception.getMessage(),
           exception);
     }
   }
 
   /**
-   * The answer to an order.
+   * The response to an order.
    *
-   * @param result what the engine did
+   * @param result the result of the order
    */
   private record OrderAnswer(OrderResult result) {}
 }
--- a/engine/src/main/java/org/agatefield/engine/HttpGeneration.java
+++ b/engine/src/main/java/org/agatefield/engine/HttpGeneration.java
@@ -13,11 +13,11 @@
 import org.agatefield.model.ErrorKind;
 
 /**
- * A generation over HTTP.
+ * Runs one generation over HTTP.
  *
- * <p>Invariants: the listener hears at most one end, and nothing after it or after {@link
- * #cancel()}; a request whose answer is given up is reset, so that its connection is never used
- * again. All state is confined to one Vert.x context; the methods of {@link EngineCall} are safe
+ * <p>Invariants: the listener is notified of at most one end and not called after it or after
+ * {@link #cancel()}; a request whose response is abandoned is reset, so that its connection is not
+ * reused. All state is confined to one Vert.x context; the methods of {@link EngineCall} are safe
  * for use by any thread.
  */
 final class HttpGeneration implements EngineCall {
@@ -37,8 +37,8 @@
   private HttpClientResponse httpResponse;
   private Buffer body = Buffer.buffer();
   private EventParser events;
-  private boolean over;
-  private boolean exchangeOver;
+  private boolean completed;
+  private boolean exchangeCompleted;
   private boolean paused;
   private long idleTimer = -1;
   private long lastActivityNanoseconds;
@@ -60,13 +60,13 @@
         new AnswerChecker(request.attemptIdentifier(), request.firstToken(), client.rules());
   }
 
-  void begin() {
+  void start() {
     onContext(this::connect);
   }
 
   @Override
   public void cancel() {
-    onContext(this::giveUp);
+    onContext(this::abort);
   }
 
   @Override
@@ -103,13 +103,13 @@
   private void connect() {
     client
         .connect(engine, HttpMethod.POST, request.path())
-        .onFailure(failure -> fail(HttpEngineClient.notConnected(engine, failure)))
+        .onFailure(failure -> fail(HttpEngineClient.connectFailed(engine, failure)))
         .onSuccess(this::send);
   }
 
   private void send(HttpClientRequest connected) {
     httpRequest = connected;
-    if (over) {
+    if (completed) {
       connected.reset();
       return;
     }
@@ -119,22 +119,22 @@
     connected
         .send(request.body())
         .onFailure(failure -> fail(HttpEngineClient.failed(engine, failure)))
-        .onSuccess(this::answer);
+        .onSuccess(this::handleResponse);
   }
 
-  private void answer(HttpClientResponse response) {
-    if (over) {
+  private void handleResponse(HttpClientResponse response) {
+    if (completed) {
       return;
     }
     httpResponse = response;
-    response.exceptionHandler(failure -> fail(cut("its connection broke: " + failure)));
+    response.exceptionHandler(failure -> fail(cut("connection failed: " + failure)));
     if (response.statusCode() != STATUS_OK) {
       response.handler(bytes -> collect(bytes, MAXIMUM_REFUSAL_BYTES));
-      response.endHandler(ignored -> refused(response));
+      response.endHandler(ignored -> handleRefusal(response));
       return;
     }
-    guarded(() -> checker.head(response.getHeader(REQUEST_ID_HEADER)));
-    if (over) {
+    failOnException(() -> checker.head(response.getHeader(REQUEST_ID_HEADER)));
+    if (completed) {
       return;
     }
     startIdleTimer();
@@ -154,34 +154,34 @@
   }
 
   private void readEvents(HttpClientResponse response) {
-    events = new EventParser(client.options().maximumEventBytes(), this::event);
+    events = new EventParser(client.options().maximumEventBytes(), this::handleEvent);
     response.handler(
         bytes -> {
           lastActivityNanoseconds = System.nanoTime();
-          guarded(() -> events.accept(bytes));
+          failOnException(() -> events.accept(bytes));
         });
     response.endHandler(ignored -> endOfStream());
   }
 
-  private void event(ServerSentEvent event) {
-    if (over) {
+  private void handleEvent(ServerSentEvent event) {
+    if (completed) {
       return;
     }
     Optional<EngineAnswerPart> part = checker.event(event);
     part.ifPresent(listener::part);
   }
 
-  private void refused(HttpClientResponse response) {
-    exchangeOver = true;
+  private void handleRefusal(HttpClientResponse response) {
+    exchangeCompleted = true;
     fail(RefusalReader.read(response.statusCode(), body));
   }
 
   private void endOfStream() {
-    exchangeOver = true;
+    exchangeCompleted = true;
     if (checker.isWhole()) {
       succeed();
     } else {
-      fail(cut("its stream ended without its end marker"));
+      fail(cut("stream ended without its end marker"));
     }
   }
 
@@ -191,12 +191,12 @@
           lastActivityNanoseconds = System.nanoTime();
           collect(bytes, client.options().maximumAnswerBytes());
         });
-    response.endHandler(ignored -> guarded(this::endOfWhole));
+    response.endHandler(ignored -> failOnException(this::endOfWhole));
   }
 
   private void endOfWhole() {
-    exchangeOver = true;
-    if (over) {
+    exchangeCompleted = true;
+    if (completed) {
       return;
     }
     EngineAnswerPart part = checker.whole(body);
@@ -205,17 +205,17 @@
   }
 
   private void collect(Buffer bytes, int limit) {
-    if (over) {
+    if (completed) {
       return;
     }
     if (body.length() + bytes.length() > limit) {
-      fail(cut("its answer exceeds " + limit + " bytes"));
+      fail(cut("response exceeds " + limit + " bytes"));
       return;
     }
     body.appendBuffer(bytes);
   }
 
-  private void guarded(Runnable action) {
+  private void failOnException(Runnable action) {
     try {
       action.run();
     } catch (AgatefieldException failure) {
@@ -225,9 +225,9 @@
     }
   }
 
-  private AgatefieldException cut(String what) {
+  private AgatefieldException cut(String detail) {
     return new AgatefieldException(
-        ErrorKind.UPSTREAM_ANSWER_CUT, "the engine at " + engine + ": " + what);
+        ErrorKind.UPSTREAM_ANSWER_CUT, "the engine at " + engine + ": " + detail);
   }
 
   private void startIdleTimer() {
@@ -241,45 +241,45 @@
   }
 
   private void checkIdle() {
-    if (over) {
+    if (completed) {
       return;
     }
     long limit = client.options().idleTimeout().toNanos();
     long idle = paused ? 0 : System.nanoTime() - lastActivityNanoseconds;
     if (idle >= limit) {
-      fail(cut("it sent nothing for " + TimeUnit.NANOSECONDS.toMillis(idle) + " ms"));
+      fail(cut("no data received for " + TimeUnit.NANOSECONDS.toMillis(idle) + " ms"));
       return;
     }
     scheduleIdleCheck(limit - idle);
   }
 
   private void succeed() {
-    if (over) {
+    if (completed) {
       return;
     }
-    over = true;
+    completed = true;
     vertx.cancelTimer(idleTimer);
     listener.ended();
   }
 
   private void fail(AgatefieldException failure) {
-    if (over) {
+    if (completed) {
       return;
     }
     if (checker.isCrossed()) {
-      client.countCrossed();
+      client.countCrossedAnswer();
     }
-    giveUp();
+    abort();
     listener.failed(failure);
   }
 
-  private void giveUp() {
-    if (over) {
+  private void abort() {
+    if (completed) {
       return;
     }
-    over = true;
+    completed = true;
     vertx.cancelTimer(idleTimer);
-    if (httpRequest != null && !exchangeOver) {
+    if (httpRequest != null && !exchangeCompleted) {
       httpRequest.reset();
       client.sendCancel(engine, request.attemptIdentifier());
     }
--- a/engine/src/main/java/org/agatefield/engine/OrderResult.java
+++ b/engine/src/main/java/org/agatefield/engine/OrderResult.java
@@ -1,13 +1,13 @@
 package org.agatefield.engine;
 
-/** What an engine answered to an order. */
+/** The results of orders to an engine. */
 public enum OrderResult {
-  /** The engine is now as ordered. */
+  /** The order has taken effect. */
   DONE,
-  /** The order's fencing token is lower than one that the engine has seen; nothing was done. */
+  /** The fencing token is lower than one received earlier; the order had no effect. */
   REFUSED_OLD_TOKEN,
-  /** The engine has not the memory; nothing was done. */
+  /** The engine has not enough free memory; the order had no effect. */
   REFUSED_NO_MEMORY,
-  /** The order cannot be carried out in the engine's state; nothing was done. */
+  /** The order is not possible in the engine's current state; it had no effect. */
   REFUSED_INVALID
 }
--- a/engine/src/main/java/org/agatefield/engine/RefusalReader.java
+++ b/engine/src/main/java/org/agatefield/engine/RefusalReader.java
@@ -7,20 +7,21 @@
 import org.agatefield.model.AgatefieldException;
 import org.agatefield.model.ErrorKind;
 
-/** Reads what an engine says when it does not answer with status 200. Stateless. */
+/** Maps engine responses with a status other than 200 to failures. Stateless. */
 final class RefusalReader {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private RefusalReader() {}
 
   /**
-   * Returns the failure for a refusal.
+   * Returns the failure for a response status and body.
    *
-   * <p>An engine answers with a status from 400 to 499, or 503, only if it ran nothing.
+   * <p>An engine responds with a status from 400 to 499, or 503, only if it did not execute the
+   * request.
    */
   static AgatefieldException read(int status, Buffer body) {
     JsonNode error = errorOf(body);
-    String message = error.path("message").asText("the engine answered with status " + status);
+    String message = error.path("message").asText("engine responded with status " + status);
     return switch (status) {
       case 400, 413, 422 ->
           new EngineRefusal(ErrorKind.INVALID_REQUEST, EngineRefusalReason.INVALID, message);
--- a/engine/src/main/java/org/agatefield/engine/package-info.java
+++ b/engine/src/main/java/org/agatefield/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The client side of model engines: generation with event streams, orders and load reports. */
+/** Client of model engines for generations with event streams, orders and load reports. */
 package org.agatefield.engine;
--- a/engine/src/test/java/org/agatefield/engine/AnswerCheckerTest.java
+++ b/engine/src/test/java/org/agatefield/engine/AnswerCheckerTest.java
@@ -18,13 +18,13 @@
 import net.jqwik.api.constraints.Size;
 import org.agatefield.model.AgatefieldException;
 
-/** Requirement REQ-WHOLE-ANSWER: what is delivered as whole is whole and of its own attempt. */
+/** Requirement REQ-WHOLE-ANSWER: responses delivered as complete are complete and not crossed. */
 class AnswerCheckerTest {
   private static final Set<AnswerRule> ALL_RULES = EnumSet.allOf(AnswerRule.class);
   private static final Set<AnswerRule> NO_RULES = EnumSet.noneOf(AnswerRule.class);
 
   @Property(tries = 300, seed = "42")
-  void neverTakesStreamsCutAtAnyByteForWhole(
+  void streamTruncatedAtAnyByteIsIncomplete(
       @ForAll @IntRange(min = 1, max = 12) int tokens, @ForAll @IntRange(max = 5_000) int at) {
     byte[] stream = stream("a", tokens).getBytes();
     int cut = at % stream.length;
@@ -33,7 +33,7 @@
   }
 
   @Example
-  void takesEveryCutStreamForWholeWithoutTheEndMarkerRule() {
+  void everyTruncatedStreamIsAcceptedWithoutEndMarkerRule() {
     byte[] stream = stream("a", 5).getBytes();
     int wrong = 0;
     for (int cut = 0; cut < stream.length; cut++) {
@@ -45,28 +45,28 @@
   }
 
   @Property(tries = 500, seed = "44")
-  void deliversNoPartOfOtherAttempts(
+  void partsOfOtherAttemptsAreNotDelivered(
       @ForAll @Size(min = 1, max = 20) List<@IntRange(max = 3) Integer> attempts) {
     List<String> delivered = deliver(attempts, ALL_RULES);
     assertTrue(delivered.stream().allMatch(text -> text.startsWith("a3-")), delivered::toString);
   }
 
   @Example
-  void deliversPartsOfOtherAttemptsWithoutTheIdentifierRule() {
+  void partsOfOtherAttemptsAreDeliveredWithoutIdentifierRule() {
     List<String> delivered = deliver(List.of(3, 2, 3, 1), NO_RULES);
     assertEquals(List.of("a3-0", "a2-1", "a3-2", "a1-3"), delivered);
     assertEquals(List.of("a3-0"), deliver(List.of(3, 2, 3, 1), ALL_RULES));
   }
 
   @Example
-  void refusesPartsThatNameNoAttempt() {
+  void partWithoutAttemptIdentifierIsRejected() {
     AnswerChecker checker = new AnswerChecker("a", 0, ALL_RULES);
     Buffer data = Buffer.buffer("{\"choices\":[]}");
     assertEquals("UPSTREAM_ANSWER_CUT", kindOf(() -> checker.event(event("", data))));
   }
 
   @Example
-  void refusesEventsAfterTheEndMarkerAndErrorsInTheStream() {
+  void eventAfterEndMarkerAndErrorInStreamAreRejected() {
     AnswerChecker ended = new AnswerChecker("a", 0, ALL_RULES);
     ended.event(event("", Buffer.buffer("[DONE]")));
     assertEquals("UPSTREAM_ANSWER_CUT", kindOf(() -> ended.event(token("a", "late", 1))));
@@ -76,17 +76,17 @@
   }
 
   @Example
-  void takesWholeAnswersOnlyWithAllTheirBytes() {
+  void responseIsAcceptedOnlyWithAllItsBytes() {
     String whole =
         "{\"id\":\"cmpl-a\",\"model\":\"m@1\",\"choices\":[{\"text\":\"w\","
             + "\"finish_reason\":\"length\"}]}";
-    int taken = 0;
+    int accepted = 0;
     for (int length = 0; length <= whole.length(); length++) {
       Buffer body = Buffer.buffer(whole.substring(0, length));
       AnswerChecker checker = new AnswerChecker("a", 0, ALL_RULES);
-      taken += kindOf(() -> checker.whole(body)).isEmpty() ? 1 : 0;
+      accepted += kindOf(() -> checker.whole(body)).isEmpty() ? 1 : 0;
     }
-    assertEquals(1, taken);
+    assertEquals(1, accepted);
     Buffer other = Buffer.buffer(whole.replace("cmpl-a", "cmpl-b"));
     AnswerChecker checker = new AnswerChecker("a", 0, ALL_RULES);
     assertEquals("UPSTREAM_ANSWER_CUT", kindOf(() -> checker.whole(other)));
@@ -94,7 +94,7 @@
   }
 
   @Property(tries = 300, seed = "45")
-  void renamesIdentifierAndModelAndNothingElse(
+  void onlyIdentifierAndModelAreReplaced(
       @ForAll String text, @ForAll boolean modelFirst, @ForAll boolean spaced) {
     String space = spaced ? " " : "";
     String content = Json.encode(text);
@@ -112,10 +112,10 @@
     AnswerChecker checker = new AnswerChecker("a3", 0, rules);
     List<String> delivered = new ArrayList<>();
     try {
-      for (int place = 0; place < attempts.size(); place++) {
-        String attempt = "a" + attempts.get(place);
+      for (int position = 0; position < attempts.size(); position++) {
+        String attempt = "a" + attempts.get(position);
         Optional<EngineAnswerPart> part =
-            checker.event(token(attempt, attempt + "-" + place, place + 1));
+            checker.event(token(attempt, attempt + "-" + position, position + 1));
         part.ifPresent(each -> delivered.add(textOf(each)));
       }
     } catch (AgatefieldException failure) {
@@ -137,8 +137,8 @@
 
   private static String stream(String attempt, int tokens) {
     StringBuilder stream = new StringBuilder();
-    for (int place = 1; place <= tokens; place++) {
-      ServerSentEvent event = token(attempt, "w" + place, place);
+    for (int position = 1; position <= tokens; position++) {
+      ServerSentEvent event = token(attempt, "w" + position, position);
       stream.append("id: ").append(event.id()).append("\ndata: ").append(event.data());
       stream.append("\n\n");
     }
@@ -146,14 +146,14 @@
     return stream + "data: " + finish + "\n\ndata: [DONE]\n\n";
   }
 
-  private static ServerSentEvent token(String attempt, String text, int place) {
+  private static ServerSentEvent token(String attempt, String text, int position) {
     String data =
         "{\"id\":\"cmpl-"
             + attempt
             + "\",\"model\":\"m@1\",\"choices\":[{\"text\":\""
             + text
             + "\",\"finish_reason\":null}]}";
-    return event(attempt + "/" + place, Buffer.buffer(data));
+    return event(attempt + "/" + position, Buffer.buffer(data));
   }
 
   private static ServerSentEvent event(String id, Buffer data) {
--- a/engine/src/test/java/org/agatefield/engine/EventParserTest.java
+++ b/engine/src/test/java/org/agatefield/engine/EventParserTest.java
@@ -19,28 +19,28 @@
   private static final int LIMIT_BYTES = 10_000;
 
   @Property(tries = 500, seed = "42")
-  void givesTheSameEventsHoweverTheBytesAreSplit(
+  void eventsDoNotDependOnHowBytesAreSplit(
       @ForAll("events") List<TextEvent> events,
       @ForAll boolean carriageReturns,
       @ForAll List<Integer> splits) {
     StringBuilder stream = new StringBuilder();
-    events.forEach(event -> stream.append(event.written()));
+    events.forEach(event -> stream.append(event.encoded()));
     String text = stream.toString();
     byte[] bytes = (carriageReturns ? text.replace("\n", "\r\n") : text).getBytes();
     assertEquals(events, parse(bytes, splits));
   }
 
   @Property(tries = 500, seed = "43")
-  void neverGivesOutAnEventWhoseEndIsMissing(
+  void unterminatedEventIsNotEmitted(
       @ForAll("events") List<TextEvent> events, @ForAll List<Integer> splits) {
     StringBuilder stream = new StringBuilder();
-    events.forEach(event -> stream.append(event.written()));
+    events.forEach(event -> stream.append(event.encoded()));
     byte[] bytes = (stream + "data: begun\n").getBytes();
     assertEquals(events, parse(bytes, splits));
   }
 
   @Example
-  void joinsDataLinesAndSkipsCommentsAndUnknownFields() {
+  void dataLinesAreJoinedAndCommentsAndUnknownFieldsSkipped() {
     String stream = ": comment\nretry: 5\nid:a/1\ndata:one\ndata:  two\n\n\n\ndata\n\n";
     assertEquals(
         List.of(new TextEvent("a/1", "one\n two"), new TextEvent("", "")),
@@ -48,7 +48,7 @@
   }
 
   @Example
-  void refusesLinesAndEventsOverTheLimit() {
+  void linesAndEventsOverLimitAreRejected() {
     EventParser parser = new EventParser(100, event -> {});
     Buffer line = Buffer.buffer("data: " + "x".repeat(60) + "\n");
     parser.accept(line);
@@ -58,20 +58,20 @@
   }
 
   private static List<TextEvent> parse(byte[] bytes, List<Integer> splits) {
-    List<TextEvent> found = new ArrayList<>();
+    List<TextEvent> parsed = new ArrayList<>();
     EventParser parser =
         new EventParser(
-            LIMIT_BYTES, event -> found.add(new TextEvent(event.id(), event.data().toString())));
+            LIMIT_BYTES, event -> parsed.add(new TextEvent(event.id(), event.data().toString())));
     int position = 0;
-    int turn = 0;
+    int splitIndex = 0;
     while (position < bytes.length) {
-      int step = splits.isEmpty() ? bytes.length : Math.floorMod(splits.get(turn), 7) + 1;
-      turn = splits.isEmpty() ? 0 : (turn + 1) % splits.size();
+      int step = splits.isEmpty() ? bytes.length : Math.floorMod(splits.get(splitIndex), 7) + 1;
+      splitIndex = splits.isEmpty() ? 0 : (splitIndex + 1) % splits.size();
       int end = Math.min(bytes.length, position + step);
       parser.accept(Buffer.buffer().appendBytes(bytes, position, end - position));
       position = end;
     }
-    return found;
+    return parsed;
   }
 
   @Provide
@@ -84,7 +84,7 @@
 
   /** An event as text. */
   private record TextEvent(String id, String data) {
-    private String written() {
+    private String encoded() {
       String identifier = id.isEmpty() ? "" : "id: " + id + "\n";
       return identifier + "data: " + data + "\n\n";
     }
--- a/engine/src/test/java/org/agatefield/engine/HttpEngineClientTest.java
+++ b/engine/src/test/java/org/agatefield/engine/HttpEngineClientTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requirement REQ-WHOLE-ANSWER: the client over HTTP against the stand-in engine. */
+/** Requirement REQ-WHOLE-ANSWER: tests the HTTP client against a simulated engine. */
 class HttpEngineClientTest {
-  private static final Duration LIMIT = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final EngineClientOptions OPTIONS =
       new EngineClientOptions(
           Duration.ofSeconds(2),
@@ -43,7 +43,7 @@
           64);
 
   private final Vertx vertx = Vertx.vertx();
-  // Vert.x closes a client that nobody refers to any more, also in the middle of a call.
+  // Vert.x closes a client that is no longer referenced, even during a call.
   private final HttpClient harnessClient = vertx.createHttpClient();
   private final HttpEngineClient client = new HttpEngineClient(vertx, OPTIONS);
   private Address engine;
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void reportsWhatOrdersChanged() {
+  void loadReportReflectsOrders() {
     assertEquals(
         OrderResult.REFUSED_OLD_TOKEN, order(OrderAction.UNLOAD_VERSION, "quotes@v1", "", 0, 4));
     assertEquals(
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void deliversStreamsAndWholeAnswers() {
+  void streamsAndSingleResponsesAreDelivered() {
     RecordingListener streamed = generate(client, "a1", 30, true);
     assertEquals("whole", streamed.outcome());
     assertEquals(30, streamed.tokens());
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void saysNotRunOnlyWhereTheEngineRanNothing() {
+  void runStateIsNoOnlyIfEngineExecutedNothing() {
     assertEquals("NO_UPSTREAM NO", generateModel("other@v1").outcome());
     assertEquals("NO_UPSTREAM NO", generateModel("quotes@v1:kochi").outcome());
     faults("{\"refuse\":true}");
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void failsWhatIsCutAndWhatStalls() {
+  void truncatedAndStalledResponsesFail() {
     faults("{\"resetAfterTokens\":3}");
     assertEquals("UPSTREAM_ANSWER_CUT YES", generate(client, "a1", 9, true).outcome());
     faults("{\"endWithoutDoneAfterTokens\":3}");
@@ -120,26 +120,26 @@
   }
 
   @Test
-  void deliversNoCrossedAnswerAndCountsThem() {
+  void crossedResponsesAreCountedAndNotDelivered() {
     int withoutIdentifiers = crossedDelivered(EnumSet.of(AnswerRule.END_MARKER));
     int withIdentifiers = crossedDelivered(EnumSet.allOf(AnswerRule.class));
-    assertTrue(withoutIdentifiers > 0, "the fault crossed no answer");
+    assertTrue(withoutIdentifiers > 0, "the injected fault crossed no response");
     assertEquals(0, withIdentifiers);
   }
 
   @Test
-  void stopsTheEngineWhenGenerationsAreCancelled() {
+  void cancellingGenerationStopsEngine() {
     RecordingListener listener = new RecordingListener();
     EngineCall call = client.generate(engine, request("a1", 100_000, true), listener);
-    await().atMost(LIMIT).until(() -> listener.partCount() > 3);
+    await().atMost(TIMEOUT).until(() -> listener.partCount() > 3);
     call.cancel();
-    await().atMost(LIMIT).until(() -> record().getInteger("cancelledGenerations") == 1);
+    await().atMost(TIMEOUT).until(() -> record().getInteger("cancelledGenerations") == 1);
     assertEquals(0, client.loadReport(engine).join().runningRequests());
     assertFalse(listener.end.isDone());
   }
 
   @Test
-  void holdsTheEngineBackWhileTheReaderIsSlow() {
+  void pausedReaderAppliesBackpressureToEngine() {
     RecordingListener listener = new RecordingListener();
     EngineCall call = client.generate(engine, request("a1", 60_000, true), listener);
     call.pause();
@@ -147,13 +147,13 @@
     assertEquals("whole", other.outcome());
     int whilePaused = listener.partCount();
     call.resume();
-    await().atMost(LIMIT).until(() -> listener.partCount() > whilePaused + 100);
+    await().atMost(TIMEOUT).until(() -> listener.partCount() > whilePaused + 100);
     call.cancel();
     assertTrue(whilePaused < 100, () -> "parts while paused: " + whilePaused);
   }
 
   @Test
-  void givesUpOrdersWhoseAnswerIsLostAsUnknown() {
+  void orderWithLostResponseHasUnknownRunState() {
     faults("{\"loseOrderAnswers\":true}");
     AgatefieldException failure =
         failure(() -> order(OrderAction.LOAD_VERSION, "lost@v1", "", 10, 6));
@@ -191,11 +191,11 @@
     return client.order(engine, new EngineOrder(action, version, adapter, megabytes, token)).join();
   }
 
-  /** Asks for an answer to a prompt that is the attempt's identifier. */
+  /** Starts a generation whose prompt is the attempt identifier. */
   private RecordingListener generate(
-      HttpEngineClient with, String attempt, int tokens, boolean stream) {
+      HttpEngineClient engineClient, String attempt, int tokens, boolean stream) {
     RecordingListener listener = new RecordingListener();
-    with.generate(engine, request(attempt, tokens, stream), listener);
+    engineClient.generate(engine, request(attempt, tokens, stream), listener);
     return listener;
   }
 
--- a/engine/src/test/java/org/agatefield/engine/LateAnswerRuleTest.java
+++ b/engine/src/test/java/org/agatefield/engine/LateAnswerRuleTest.java
@@ -11,11 +11,12 @@
 import net.jqwik.api.Property;
 
 /**
- * Requirement REQ-WHOLE-ANSWER: which rule keeps late and crossed answers from their wrong reader.
+ * Requirement REQ-WHOLE-ANSWER: compares rules that prevent readers from accepting late or crossed
+ * answers.
  *
- * <p>Two readers take turns on a channel that holds answers back and gives them out in any order,
- * to either reader. Each reader gives up some attempts and begins the next. An answer that a reader
- * takes although it belongs to another request is wrong.
+ * <p>Two readers share a channel that delays answers and delivers them in random order, to either
+ * reader. Each reader abandons some attempts and starts the next. An answer is wrong if a reader
+ * accepts it although it belongs to another request.
  */
 class LateAnswerRuleTest {
   private static final int ROUNDS = 2_000;
@@ -23,19 +24,19 @@
   /** An answer on the channel. */
   private record Answer(int reader, int request, int attemptNumber) {}
 
-  /** Decides whether a reader that waits for an attempt takes an answer. */
+  /** Decides whether a reader that waits for an attempt accepts an answer. */
   private interface Rule {
-    boolean takes(Answer waitedFor, Answer answer);
+    boolean accepts(Answer expected, Answer answer);
   }
 
-  private static final Rule WITHOUT_NUMBERS = (waitedFor, answer) -> true;
+  private static final Rule WITHOUT_NUMBERS = (expected, answer) -> true;
   private static final Rule NOT_EARLIER =
-      (waitedFor, answer) -> answer.attemptNumber() >= waitedFor.attemptNumber();
+      (expected, answer) -> answer.attemptNumber() >= expected.attemptNumber();
   private static final Rule SAME =
-      (waitedFor, answer) -> answer.attemptNumber() == waitedFor.attemptNumber();
+      (expected, answer) -> answer.attemptNumber() == expected.attemptNumber();
 
   @Example
-  void countsWrongAnswersUnderEachRule() {
+  void onlySameNumberRulePreventsAllWrongAnswers() {
     List<Integer> wrong =
         List.of(
             wrongAnswers(WITHOUT_NUMBERS, 42, true),
@@ -50,7 +51,7 @@
   }
 
   @Property(tries = 100, seed = "42")
-  void takesNoWrongAnswerWhoseNumberMustBeTheSame(@ForAll long seed) {
+  void sameNumberRuleAcceptsNoWrongAnswer(@ForAll long seed) {
     assertEquals(0, wrongAnswers(SAME, seed, true));
   }
 
@@ -73,7 +74,7 @@
       } else if (!channel.isEmpty()) {
         Answer answer = channel.remove(random.nextInt(channel.size()));
         int target = crossed ? reader : answer.reader();
-        if (waiting[target] != null && rule.takes(waiting[target], answer)) {
+        if (waiting[target] != null && rule.accepts(waiting[target], answer)) {
           wrong += answer.request() == waiting[target].request() ? 0 : 1;
           waiting[target] = null;
         }
--- a/engine/src/test/java/org/agatefield/engine/RecordingListener.java
+++ b/engine/src/test/java/org/agatefield/engine/RecordingListener.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.agatefield.model.AgatefieldException;
 
-/** Gathers an answer and checks that a listener is called in the agreed order. */
+/** Records a response and checks that the listener is not called after its end. */
 final class RecordingListener implements EngineAnswerListener {
   final CompletableFuture<String> end = new CompletableFuture<>();
   private final List<Buffer> parts = new ArrayList<>();
@@ -24,7 +24,7 @@
     return List.copyOf(parts);
   }
 
-  /** Returns what ended the answer: {@code whole} or the failure's kind and run state. */
+  /** Returns the outcome: {@code whole} or the kind and run state of the failure. */
   String outcome() {
     return end.join();
   }
