--- a/standin/src/main/java/org/agatefield/standin/engine/AnswerFormat.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/AnswerFormat.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vertx.core.buffer.Buffer;
 
-/** Writes answers in the OpenAI-compatible shapes. Stateless. */
+/** Formats generation responses in the OpenAI-compatible format. Stateless. */
 final class AnswerFormat {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String END_MARKER = "data: [DONE]\n\n";
@@ -15,20 +15,20 @@
     ObjectNode chunk = chunk(request);
     ObjectNode delta = choice(chunk, null).putObject("delta");
     delta.put("role", "assistant").put("content", "");
-    return event(request, request.next, chunk);
+    return event(request, request.nextToken, chunk);
   }
 
-  /** Returns the event with the token before {@code request.next}. */
+  /** Returns the event for the token before {@code request.nextToken}. */
   static Buffer tokenEvent(RunningRequest request) {
     ObjectNode chunk = chunk(request);
     ObjectNode choice = choice(chunk, null);
-    String token = request.tokens.token(Math.max(0, request.next - 1));
+    String token = request.tokens.token(Math.max(0, request.nextToken - 1));
     if (request.message.chat()) {
       choice.putObject("delta").put("content", token);
     } else {
       choice.put("text", token);
     }
-    return event(request, request.next, chunk);
+    return event(request, request.nextToken, chunk);
   }
 
   static Buffer finishEvent(RunningRequest request) {
@@ -40,21 +40,21 @@
       choice.put("text", "");
     }
     chunk.put("checksum", checksum(request));
-    return event(request, request.next, chunk);
+    return event(request, request.nextToken, chunk);
   }
 
   static Buffer usageEvent(RunningRequest request) {
     ObjectNode chunk = chunk(request);
     chunk.putArray("choices");
     usage(chunk, request);
-    return event(request, request.next, chunk);
+    return event(request, request.nextToken, chunk);
   }
 
   static Buffer endMarker() {
     return Buffer.buffer(END_MARKER);
   }
 
-  static Buffer whole(RunningRequest request) {
+  static Buffer completeAnswer(RunningRequest request) {
     boolean chat = request.message.chat();
     ObjectNode answer = head(request, chat ? "chat.completion" : "text_completion");
     ObjectNode choice = choice(answer, "length");
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineFaults.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineFaults.java
@@ -1,20 +1,19 @@
 package org.agatefield.standin.engine;
 
 /**
- * The faults that a stand-in engine has been told to show; everything 0 or false is no fault.
- * Immutable.
+ * The faults that a stand-in engine injects; 0 or false disables a fault. Immutable.
  *
- * @param refuse answers generations with status 503
- * @param resetAfterTokens closes the connection after that many tokens
- * @param stallAfterTokens sends nothing more after that many tokens
- * @param endWithoutDoneAfterTokens ends the stream in good order after that many tokens
- * @param crossAnswers sends the answer of one request to another
- * @param slow makes each token take that many steps
- * @param lagLoadReportMilliseconds how old load reports are
- * @param delayOrdersMilliseconds how long orders wait before they are carried out
- * @param loseOrderAnswers carries orders out and closes the connection in place of an answer
- * @param duplicateOrders carries each order out twice
- * @param generations how many generations the faults of generations apply to; 0 for all
+ * @param refuse rejects generations with status 503
+ * @param resetAfterTokens closes the connection after this many tokens
+ * @param stallAfterTokens sends nothing more after this many tokens
+ * @param endWithoutDoneAfterTokens ends the stream without the end marker after this many tokens
+ * @param crossAnswers answers a request with the tokens of another request
+ * @param slow number of batch steps per token
+ * @param lagLoadReportMilliseconds how long a load report is reused, in milliseconds
+ * @param delayOrdersMilliseconds delay before an order is executed, in milliseconds
+ * @param loseOrderAnswers executes orders and resets the connection instead of answering
+ * @param duplicateOrders executes each order twice
+ * @param generations number of generations that the generation faults apply to; 0 for all
  */
 public record EngineFaults(
     boolean refuse,
@@ -29,7 +28,7 @@
     boolean duplicateOrders,
     int generations) {
 
-  /** The engine without faults. */
+  /** Injects no faults. */
   public static final EngineFaults NONE =
       new EngineFaults(false, 0, 0, 0, false, 0, 0, 0, false, false, 0);
 }
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineMemory.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineMemory.java
@@ -7,17 +7,17 @@
 import org.agatefield.standin.engine.OrderAnswer.Result;
 
 /**
- * What an engine has loaded, counted by the engine itself.
+ * Accounts for the memory of the versions and adapters that an engine has loaded.
  *
- * <p>Invariant: the memory of all loaded and loading things never exceeds what the engine has; an
- * order that would exceed it is refused and recorded as an overcommit. Confined to the event loop
- * of the engine.
+ * <p>Invariant: the memory of all loaded and loading versions and adapters never exceeds the memory
+ * of the engine. An order that would exceed it is refused and recorded as an overcommit. Confined
+ * to the event loop of the engine.
  */
 final class EngineMemory {
   private final long memoryMegabytes;
   private final boolean checksFencingTokens;
-  private final Map<String, Entry> versions = new LinkedHashMap<>();
-  private final Map<String, Entry> adapters = new LinkedHashMap<>();
+  private final Map<String, Allocation> versions = new LinkedHashMap<>();
+  private final Map<String, Allocation> adapters = new LinkedHashMap<>();
   private final List<String> overcommits = new ArrayList<>();
   private long refusedOrders;
   private long highestFencingToken;
@@ -28,13 +28,13 @@
     this.checksFencingTokens = checksFencingTokens;
   }
 
-  /** Returns the name that generations ask for an adapter by. */
+  /** Returns the model name by which generations request an adapter. */
   static String adapterKey(String version, String adapter) {
     return version + ":" + adapter;
   }
 
-  /** Returns false, and counts a refusal, if the order's fencing token is old. */
-  boolean admits(OrderMessage order) {
+  /** Returns false and counts a refusal if the order's fencing token is outdated. */
+  boolean acceptsFencingToken(OrderMessage order) {
     if (order.fencingToken() < highestFencingToken && isFenced(order) && checksFencingTokens) {
       refusedOrders++;
       return false;
@@ -43,13 +43,13 @@
     return true;
   }
 
-  /** Takes memory for what is to be loaded; the caller loads it if the result is DONE. */
+  /** Reserves memory for a load; the caller loads the weights if the result is DONE. */
   Result reserve(OrderMessage order) {
     boolean isAdapter = order.action() == OrderMessage.OrderActionName.LOAD_ADAPTER;
     if (isAdapter && !isVersionLoaded(order.version())) {
       return refused(Result.REFUSED_INVALID);
     }
-    Map<String, Entry> entries = isAdapter ? adapters : versions;
+    Map<String, Allocation> entries = isAdapter ? adapters : versions;
     String key = key(order);
     if (entries.containsKey(key)) {
       return Result.DONE;
@@ -59,17 +59,17 @@
           order.action() + " " + key + " " + order.memoryMegabytes() + " beside " + loadedNames());
       return refused(Result.REFUSED_NO_MEMORY);
     }
-    entries.put(key, new Entry(order.memoryMegabytes()));
+    entries.put(key, new Allocation(order.memoryMegabytes()));
     mostUsedMegabytes = Math.max(mostUsedMegabytes, usedMegabytes());
     return Result.DONE;
   }
 
-  /** Marks what was reserved as loaded, unless it was unloaded in between. */
-  void loaded(OrderMessage order) {
+  /** Marks a reservation as loaded unless it has been unloaded in the meantime. */
+  void markLoaded(OrderMessage order) {
     boolean isAdapter = order.action() == OrderMessage.OrderActionName.LOAD_ADAPTER;
-    Entry entry = (isAdapter ? adapters : versions).get(key(order));
-    if (entry != null) {
-      entry.loaded = true;
+    Allocation allocation = (isAdapter ? adapters : versions).get(key(order));
+    if (allocation != null) {
+      allocation.loaded = true;
     }
   }
 
@@ -92,11 +92,11 @@
 
   long usedMegabytes() {
     long used = 0;
-    for (Entry entry : versions.values()) {
-      used += entry.memoryMegabytes;
+    for (Allocation allocation : versions.values()) {
+      used += allocation.memoryMegabytes;
     }
-    for (Entry entry : adapters.values()) {
-      used += entry.memoryMegabytes;
+    for (Allocation allocation : adapters.values()) {
+      used += allocation.memoryMegabytes;
     }
     return used;
   }
@@ -150,12 +150,12 @@
     return versions.keySet() + " " + adapters.keySet() + " of " + memoryMegabytes;
   }
 
-  /** Something that takes memory, loading at first and then loaded. */
-  private static final class Entry {
+  /** Memory taken by a version or an adapter that is loading or loaded. */
+  private static final class Allocation {
     private final long memoryMegabytes;
     private boolean loaded;
 
-    private Entry(long memoryMegabytes) {
+    private Allocation(long memoryMegabytes) {
       this.memoryMegabytes = memoryMegabytes;
     }
   }
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineOrders.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineOrders.java
@@ -12,7 +12,7 @@
 import org.agatefield.standin.engine.OrderAnswer.Result;
 
 /**
- * Carries out orders; a load takes memory at once and is done when the weights have come.
+ * Executes orders. A load reserves memory at once and completes when the weights have been fetched.
  *
  * <p>Confined to the event loop of the engine.
  */
@@ -36,8 +36,8 @@
     this.versionUnloaded = versionUnloaded;
   }
 
-  Future<Result> carryOut(OrderMessage order) {
-    if (!memory.admits(order)) {
+  Future<Result> execute(OrderMessage order) {
+    if (!memory.acceptsFencingToken(order)) {
       return Future.succeededFuture(Result.REFUSED_OLD_TOKEN);
     }
     return switch (order.action()) {
@@ -71,7 +71,7 @@
         weights(order)
             .map(
                 ignored -> {
-                  memory.loaded(order);
+                  memory.markLoaded(order);
                   return Result.DONE;
                 });
     loading.put(key, load);
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineRecord.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineRecord.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What an engine recorded about itself. Immutable.
+ * Counters and violations recorded by an engine. Immutable.
  *
- * @param overcommits orders that did not fit beside what was loaded
+ * @param overcommits orders that exceeded the free memory
  * @param refusedOrders orders refused for any reason
- * @param mostUsedMegabytes the most memory that was ever taken
- * @param generationStarts generations that were begun
- * @param cancelledGenerations generations that were given up before their end
- * @param requestsCutByUnload generations that an unload order cut
- * @param executions number of generations begun by request identifier
+ * @param mostUsedMegabytes the highest memory use, in megabytes
+ * @param generationStarts generations started
+ * @param cancelledGenerations generations cancelled before they completed
+ * @param requestsCutByUnload generations aborted by an unload order
+ * @param executions number of generations started, by request identifier
  */
 public record EngineRecord(
     List<String> overcommits,
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineStandin.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineStandin.java
@@ -17,10 +17,10 @@
 import org.agatefield.model.LoadReport;
 
 /**
- * A stand-in for a model engine.
+ * Simulates a model engine behind an HTTP interface.
  *
- * <p>Invariant: everything it counts is counted where it happens, not where it was asked for. All
- * state is confined to the one event loop of its HTTP server.
+ * <p>Invariant: counters count what was executed, not what was requested. All state is confined to
+ * the one event loop of its HTTP server.
  */
 public final class EngineStandin {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -42,7 +42,7 @@
   private LoadReport publishedReport;
   private long publishedAtNanoseconds;
 
-  /** Creates an engine that holds nothing. */
+  /** Creates an engine with nothing loaded. */
   public EngineStandin(Vertx vertx, EngineStandinOptions options) {
     this.vertx = vertx;
     this.options = options;
@@ -51,7 +51,7 @@
     this.orders = new EngineOrders(vertx, options, memory, this::versionUnloaded);
   }
 
-  /** Starts to listen; the result is the port. */
+  /** Starts listening; the result is the port. */
   public Future<Integer> start() {
     Router router = Router.router(vertx);
     router.route().handler(BodyHandler.create(false).setBodyLimit(64L * 1024 * 1024));
@@ -98,20 +98,20 @@
             order -> {
               long delay = faults.delayOrdersMilliseconds();
               if (delay > 0) {
-                vertx.setTimer(delay, ignored -> carryOut(context, order));
+                vertx.setTimer(delay, ignored -> execute(context, order));
               } else {
-                carryOut(context, order);
+                execute(context, order);
               }
             });
   }
 
-  private void carryOut(RoutingContext context, OrderMessage order) {
+  private void execute(RoutingContext context, OrderMessage order) {
     boolean loseAnswer = faults.loseOrderAnswers();
     if (faults.duplicateOrders()) {
-      orders.carryOut(order);
+      orders.execute(order);
     }
     orders
-        .carryOut(order)
+        .execute(order)
         .onSuccess(
             result -> {
               if (loseAnswer) {
@@ -123,7 +123,7 @@
   }
 
   private void versionUnloaded(String version) {
-    batch.cutAll(
+    batch.abortMatching(
         request -> {
           boolean cut = request.message.model().startsWith(version);
           if (cut) {
@@ -174,7 +174,7 @@
   }
 
   private void generate(RoutingContext context, GenerationMessage message) {
-    boolean faulty = takeFault();
+    boolean faulty = consumeFault();
     if (faulty && faults.refuse()) {
       refuse(context, 503, "overloaded");
       return;
@@ -197,7 +197,7 @@
     run(context, message, faulty);
   }
 
-  private boolean takeFault() {
+  private boolean consumeFault() {
     if (faultyGenerations == 0) {
       return false;
     }
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineStandinMain.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineStandinMain.java
@@ -21,7 +21,7 @@
   @Option(
       name = "--checks-fencing-tokens",
       arity = 1,
-      description = "whether orders with an old fencing token are refused")
+      description = "whether orders with an outdated fencing token are refused")
   private boolean checksFencingTokens = true;
 
   @Option(name = "--weights", description = "address of the weight store, IP:port")
@@ -30,13 +30,15 @@
   @Option(name = "--token-milliseconds", description = "time of one step of the batch")
   private int tokenMilliseconds = 5;
 
-  @Option(name = "--batch", description = "most requests that run at once")
+  @Option(name = "--batch", description = "maximum number of concurrent requests")
   private int batch = 16;
 
-  @Option(name = "--adapter-load-milliseconds", description = "how long an adapter takes to load")
+  @Option(name = "--adapter-load-milliseconds", description = "time to load an adapter")
   private int adapterLoadMilliseconds = 10;
 
-  @Option(name = "--weights-delay", description = "milliseconds a load takes beside the store")
+  @Option(
+      name = "--weights-delay",
+      description = "milliseconds added to a load after the weight store")
   private int weightsDelayMilliseconds;
 
   /** Starts the engine and prints its port. */
--- a/standin/src/main/java/org/agatefield/standin/engine/EngineStandinOptions.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/EngineStandinOptions.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * How a stand-in engine behaves. Immutable.
+ * Options of a stand-in engine. Immutable.
  *
- * @param port where it listens on loopback; 0 for any free port
- * @param name its name in logs and answers
- * @param memoryMegabytes accelerator memory that it has
- * @param checksFencingTokens whether it refuses orders with an old fencing token
- * @param weights where the weight store listens; empty if loading needs none
- * @param tokenMilliseconds time of one step of the batch, which gives each request a token
- * @param batch most requests that run at once
- * @param adapterLoadMilliseconds how long an adapter takes to load
- * @param weightsDelayMilliseconds how long a version takes to load beside the weight store
+ * @param port the port on loopback; 0 for any free port
+ * @param name the name of the engine in logs and responses
+ * @param memoryMegabytes accelerator memory, in megabytes
+ * @param checksFencingTokens whether orders with an outdated fencing token are refused
+ * @param weights address of the weight store; empty if loads do not use one
+ * @param tokenMilliseconds time of one step of the batch, which generates one token per request
+ * @param batch maximum number of concurrent requests
+ * @param adapterLoadMilliseconds time to load an adapter
+ * @param weightsDelayMilliseconds time added to the load of a version after the weight store
  */
 public record EngineStandinOptions(
     int port,
--- a/standin/src/main/java/org/agatefield/standin/engine/GenerationBatch.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/GenerationBatch.java
@@ -10,11 +10,11 @@
 import java.util.function.Predicate;
 
 /**
- * The continuous batch: each step gives every running request its next token.
+ * Runs generations in a continuous batch: each step generates one token for every running request.
  *
- * <p>Invariant: no more requests run at once than the batch holds; waiting ones are taken by
- * priority, then in the order of arrival. A request whose reader is slow skips steps. Confined to
- * the event loop of the engine.
+ * <p>Invariant: the number of running requests never exceeds the batch size. Waiting requests start
+ * by priority, then in order of arrival. A request skips steps while its write queue is full.
+ * Confined to the event loop of the engine.
  */
 final class GenerationBatch {
   private final Vertx vertx;
@@ -56,18 +56,18 @@
     schedule();
   }
 
-  /** Ends the requests that match without an answer. */
-  void cutAll(Predicate<RunningRequest> condition) {
+  /** Cancels the matching requests and resets their connections. */
+  void abortMatching(Predicate<RunningRequest> condition) {
     for (RunningRequest request : all()) {
       if (condition.test(request)) {
-        cut(request);
+        abort(request);
       }
     }
   }
 
-  /** Stops work on a request. */
+  /** Cancels a request and resets its connection. */
   void stop(String requestId) {
-    all().stream().filter(each -> each.requestId.equals(requestId)).forEach(this::cut);
+    all().stream().filter(each -> each.requestId.equals(requestId)).forEach(this::abort);
   }
 
   private List<RunningRequest> all() {
@@ -77,13 +77,13 @@
   }
 
   private void cancel(RunningRequest request) {
-    if (!request.over) {
-      request.over = true;
+    if (!request.ended) {
+      request.ended = true;
       cancelled++;
     }
   }
 
-  private void cut(RunningRequest request) {
+  private void abort(RunningRequest request) {
     cancel(request);
     closeConnection(request.response);
   }
@@ -102,8 +102,8 @@
   private void step() {
     stepping = false;
     stepNumber++;
-    running.removeIf(request -> request.over);
-    waiting.removeIf(request -> request.over);
+    running.removeIf(request -> request.ended);
+    waiting.removeIf(request -> request.ended);
     while (running.size() < options.batch() && !waiting.isEmpty()) {
       running.add(waiting.remove(0));
     }
@@ -118,14 +118,14 @@
   }
 
   private void advance(RunningRequest request) {
-    if (request.over || (request.message.stream() && request.response.writeQueueFull())) {
+    if (request.ended || (request.message.stream() && request.response.writeQueueFull())) {
       return;
     }
     if (request.prefillSteps > 0) {
       request.prefillSteps--;
       return;
     }
-    begin(request);
+    startStream(request);
     if (request.isComplete()) {
       finish(request);
       return;
@@ -133,47 +133,47 @@
     if (isStalled(request)) {
       return;
     }
-    request.next++;
+    request.nextToken++;
     if (request.message.stream()) {
       request.response.write(tokenEvent(request));
     }
-    breakOff(request);
-    if (!request.over && request.isComplete()) {
+    applyStreamFaults(request);
+    if (!request.ended && request.isComplete()) {
       finish(request);
     }
   }
 
-  private void begin(RunningRequest request) {
+  private void startStream(RunningRequest request) {
     if (request.started || !request.message.stream()) {
       return;
     }
     request.started = true;
-    if (request.message.chat() && request.next == 0) {
+    if (request.message.chat() && request.nextToken == 0) {
       request.response.write(AnswerFormat.roleEvent(request));
     }
   }
 
   private boolean isStalled(RunningRequest request) {
     int stallAfter = faults.stallAfterTokens();
-    return request.faulty && stallAfter > 0 && request.next >= stallAfter;
+    return request.faulty && stallAfter > 0 && request.nextToken >= stallAfter;
   }
 
-  private void breakOff(RunningRequest request) {
+  private void applyStreamFaults(RunningRequest request) {
     if (!request.faulty) {
       return;
     }
-    if (faults.resetAfterTokens() > 0 && request.next >= faults.resetAfterTokens()) {
-      request.over = true;
+    if (faults.resetAfterTokens() > 0 && request.nextToken >= faults.resetAfterTokens()) {
+      request.ended = true;
       closeConnection(request.response);
     } else if (faults.endWithoutDoneAfterTokens() > 0
-        && request.next >= faults.endWithoutDoneAfterTokens()) {
-      request.over = true;
+        && request.nextToken >= faults.endWithoutDoneAfterTokens()) {
+      request.ended = true;
       request.response.end();
     }
   }
 
   private void finish(RunningRequest request) {
-    request.over = true;
+    request.ended = true;
     RunningRequest source = source(request);
     if (request.message.stream()) {
       request.response.write(AnswerFormat.finishEvent(source));
@@ -182,7 +182,7 @@
       }
       request.response.end(AnswerFormat.endMarker());
     } else {
-      request.response.end(AnswerFormat.whole(source));
+      request.response.end(AnswerFormat.completeAnswer(source));
     }
     lastFinished = Optional.of(request);
   }
@@ -191,13 +191,13 @@
     return AnswerFormat.tokenEvent(source(request));
   }
 
-  /** Returns the request whose answer is sent; another one if answers are to be crossed. */
+  /** Returns the request whose answer is sent; a different one if answers are crossed. */
   private RunningRequest source(RunningRequest request) {
     if (!faults.crossAnswers() || !request.faulty) {
       return request;
     }
     return running.stream()
-        .filter(other -> other != request && !other.over)
+        .filter(other -> other != request && !other.ended)
         .findFirst()
         .or(() -> lastFinished)
         .orElse(request);
--- a/standin/src/main/java/org/agatefield/standin/engine/GenerationMessage.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/GenerationMessage.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A generation as it comes in. Immutable.
+ * A generation request as received. Immutable.
  *
- * @param chat whether it came by {@code /v1/chat/completions}
- * @param model the engine name of a version or an adapter beside it
+ * @param chat whether it was sent to {@code /v1/chat/completions}
+ * @param model the engine name of a version, or of a version and its adapter
  * @param prompt the prompt, or the contents of all messages
  * @param maximumTokens number of tokens to generate
- * @param firstToken number of tokens to leave out
+ * @param firstToken number of tokens to skip
  * @param stream whether to answer with an event stream
  * @param includeUsage whether a stream ends with the usage
- * @param priority smaller ones go first
+ * @param priority requests with a smaller number start first
  */
 record GenerationMessage(
     boolean chat,
--- a/standin/src/main/java/org/agatefield/standin/engine/OrderAnswer.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/OrderAnswer.java
@@ -1,20 +1,20 @@
 package org.agatefield.standin.engine;
 
 /**
- * The answer to an order. Immutable.
+ * The response to an order. Immutable.
  *
- * @param result what the engine did
+ * @param result the outcome of the order
  */
 public record OrderAnswer(Result result) {
-  /** What an engine does with an order. */
+  /** The outcome of an order. */
   public enum Result {
-    /** The engine is as ordered. */
+    /** The order has been executed. */
     DONE,
-    /** The fencing token is old. */
+    /** The fencing token is outdated. */
     REFUSED_OLD_TOKEN,
-    /** The memory does not suffice. */
+    /** The free memory is insufficient. */
     REFUSED_NO_MEMORY,
-    /** The order does not fit the engine's state. */
+    /** The order is invalid in the engine's current state. */
     REFUSED_INVALID
   }
 }
--- a/standin/src/main/java/org/agatefield/standin/engine/OrderMessage.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/OrderMessage.java
@@ -1,12 +1,12 @@
 package org.agatefield.standin.engine;
 
 /**
- * An order as it comes in. Immutable.
+ * An order as received. Immutable.
  *
  * @param action the name of the action
  * @param version the engine name of the version
  * @param adapter the adapter's name; empty for orders about versions
- * @param memoryMegabytes memory that the loaded thing takes
+ * @param memoryMegabytes memory that the version or adapter takes
  * @param fencingToken the order's fencing token; 0 for orders about adapters
  */
 public record OrderMessage(
@@ -16,13 +16,13 @@
     long memoryMegabytes,
     long fencingToken) {
 
-  /** What an engine can be ordered to do. */
+  /** The actions of an order. */
   public enum OrderActionName {
     /** Load a version. */
     LOAD_VERSION,
-    /** Unload a version and the adapters beside it. */
+    /** Unload a version and its adapters. */
     UNLOAD_VERSION,
-    /** Load an adapter beside a loaded version. */
+    /** Load an adapter of a loaded version. */
     LOAD_ADAPTER,
     /** Unload an adapter. */
     UNLOAD_ADAPTER,
--- a/standin/src/main/java/org/agatefield/standin/engine/PrefixCache.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/PrefixCache.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The cache of prompt prefixes in limited memory, with events that are published late and with
- * gaps.
+ * Caches prompt prefixes up to a fixed number of blocks and publishes cache events with a delay and
+ * with gaps in their sequence.
  *
  * <p>Confined to the event loop of the engine.
  */
@@ -23,7 +23,7 @@
   private final List<CacheEvent> events = new ArrayList<>();
   private long nextSequence = 1;
 
-  /** Remembers the prompt's prefixes and returns how many of its blocks were not cached. */
+  /** Caches the prefixes of a prompt and returns how many of its blocks were not yet cached. */
   int admit(String prompt, long nowNanoseconds) {
     int missing = 0;
     long hash = 1;
@@ -69,10 +69,10 @@
   /**
    * A change of the cache. Immutable.
    *
-   * @param sequence rises by 1 with each event; a missing number is a lost event
+   * @param sequence increases by 1 with each event; a missing number means a lost event
    * @param kind {@code stored} or {@code removed}
    * @param prefixHash the hash of the prefix
-   * @param atNanoseconds when it happened, by the engine's monotonic clock
+   * @param atNanoseconds time of the change on the engine's monotonic clock
    */
   record CacheEvent(long sequence, String kind, long prefixHash, long atNanoseconds) {}
 }
--- a/standin/src/main/java/org/agatefield/standin/engine/RunningRequest.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/RunningRequest.java
@@ -9,10 +9,10 @@
   final TokenSequence tokens;
   final HttpServerResponse response;
   final boolean faulty;
-  int next;
+  int nextToken;
   int prefillSteps;
   boolean started;
-  boolean over;
+  boolean ended;
 
   RunningRequest(
       String requestId,
@@ -26,10 +26,10 @@
     this.prefillSteps = prefillSteps;
     this.faulty = faulty;
     this.tokens = TokenSequence.of(message.model(), message.prompt(), message.maximumTokens());
-    this.next = message.firstToken();
+    this.nextToken = message.firstToken();
   }
 
   boolean isComplete() {
-    return next >= tokens.length();
+    return nextToken >= tokens.length();
   }
 }
--- a/standin/src/main/java/org/agatefield/standin/engine/TokenSequence.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/TokenSequence.java
@@ -4,10 +4,10 @@
 import java.util.zip.CRC32;
 
 /**
- * The tokens that a model generates for a prompt; each depends on the model, the prompt and its
- * place only. Immutable.
+ * The tokens that a model generates for a prompt. Each token depends only on the model, the prompt
+ * and its position. Immutable.
  *
- * @param seed stands for the model and the prompt
+ * @param seed checksum of the model and the prompt
  * @param length number of tokens
  */
 public record TokenSequence(long seed, int length) {
@@ -22,9 +22,9 @@
     return new TokenSequence(checksum.getValue(), length);
   }
 
-  /** Returns the text of the token at a place, counted from 0. */
-  public String token(int place) {
-    long mixed = (seed + place) * 0x9E3779B97F4A7C15L;
+  /** Returns the text of the token at a position, counted from 0. */
+  public String token(int position) {
+    long mixed = (seed + position) * 0x9E3779B97F4A7C15L;
     mixed = (mixed ^ (mixed >>> 32)) * 0xD6E8FEB86659FD93L;
     long value = (mixed >>> 40) % TOKEN_VALUES;
     return "w" + Long.toHexString(value) + " ";
@@ -33,8 +33,8 @@
   /** Returns the text of all tokens. */
   public String text() {
     StringBuilder text = new StringBuilder();
-    for (int place = 0; place < length; place++) {
-      text.append(token(place));
+    for (int position = 0; position < length; position++) {
+      text.append(token(position));
     }
     return text.toString();
   }
--- a/standin/src/main/java/org/agatefield/standin/engine/package-info.java
+++ b/standin/src/main/java/org/agatefield/standin/engine/package-info.java
@@ -1,2 +1,4 @@
-/** A stand-in for a model engine: counts its own memory and generates deterministic tokens. */
+/**
+ * A stand-in for a model engine that accounts for its memory and generates deterministic tokens.
+ */
 package org.agatefield.standin.engine;
--- a/standin/src/main/java/org/agatefield/standin/package-info.java
+++ b/standin/src/main/java/org/agatefield/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins of outside systems, for tests and trials; not shipped. */
+/** Stand-ins for external systems, used in tests and trials; not part of a release. */
 package org.agatefield.standin;
--- a/standin/src/main/java/org/agatefield/standin/relay/RelayBehaviour.java
+++ b/standin/src/main/java/org/agatefield/standin/relay/RelayBehaviour.java
@@ -1,16 +1,16 @@
 package org.agatefield.standin.relay;
 
 /**
- * How a relay treats its connections. Immutable.
+ * Delays, limits and faults of a relay. Immutable.
  *
  * @param delayMilliseconds one-way delay
- * @param bitsPerSecond bandwidth of each direction over all connections; 0 for no limit
- * @param cut refuses new connections and closes the present ones
+ * @param bitsPerSecond bandwidth per direction, shared by all connections; 0 for no limit
+ * @param cut refuses new connections and closes open ones
  * @param halfOpen accepts connections and relays nothing
  */
 public record RelayBehaviour(
     long delayMilliseconds, long bitsPerSecond, boolean cut, boolean halfOpen) {
 
-  /** Relays at once and without limit. */
+  /** Relays without delay or limit. */
   public static final RelayBehaviour TRANSPARENT = new RelayBehaviour(0, 0, false, false);
 }
--- a/standin/src/main/java/org/agatefield/standin/relay/RelayDirection.java
+++ b/standin/src/main/java/org/agatefield/standin/relay/RelayDirection.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 
 /**
- * One direction of a relay, with one bandwidth for all its connections.
+ * Relays bytes in one direction, with one bandwidth limit shared by all connections.
  *
  * <p>Confined to the event loop of the relay.
  */
@@ -32,19 +32,19 @@
   }
 
   void relay(NetSocket source, NetSocket target) {
-    Ordered ordered = new Ordered(target);
-    source.handler(data -> received(source, data, ordered));
-    source.endHandler(ignored -> ordered.close());
+    OrderedWriter writer = new OrderedWriter(target);
+    source.handler(data -> received(source, data, writer));
+    source.endHandler(ignored -> writer.close());
     source.exceptionHandler(ignored -> target.close());
   }
 
-  private void received(NetSocket source, Buffer data, Ordered ordered) {
+  private void received(NetSocket source, Buffer data, OrderedWriter writer) {
     RelayBehaviour current = behaviour.get();
     bytes += data.length();
     if (current.halfOpen()) {
       source.pause();
       vertx.setTimer(
-          HALF_OPEN_CHECK_MILLISECONDS, ignored -> waitWhileHalfOpen(source, data, ordered));
+          HALF_OPEN_CHECK_MILLISECONDS, ignored -> waitWhileHalfOpen(source, data, writer));
       return;
     }
     long now = System.nanoTime();
@@ -59,27 +59,26 @@
       source.pause();
       vertx.setTimer(waitNanoseconds / NANOSECONDS_PER_MILLISECOND, ignored -> source.resume());
     }
-    ordered.write(
-        data, current.delayMilliseconds() + waitNanoseconds / NANOSECONDS_PER_MILLISECOND);
+    writer.write(data, current.delayMilliseconds() + waitNanoseconds / NANOSECONDS_PER_MILLISECOND);
   }
 
-  private void waitWhileHalfOpen(NetSocket source, Buffer data, Ordered ordered) {
+  private void waitWhileHalfOpen(NetSocket source, Buffer data, OrderedWriter writer) {
     if (behaviour.get().halfOpen()) {
       vertx.setTimer(
-          HALF_OPEN_CHECK_MILLISECONDS, ignored -> waitWhileHalfOpen(source, data, ordered));
+          HALF_OPEN_CHECK_MILLISECONDS, ignored -> waitWhileHalfOpen(source, data, writer));
       return;
     }
     bytes -= data.length();
-    received(source, data, ordered);
+    received(source, data, writer);
     source.resume();
   }
 
-  /** Writes to a socket after delays; one timer at a time keeps the order of the calls. */
-  private final class Ordered {
+  /** Writes to a socket after a delay; a single pending timer preserves the order of the calls. */
+  private final class OrderedWriter {
     private final NetSocket target;
-    private final Deque<Delayed> waiting = new ArrayDeque<>();
+    private final Deque<ScheduledAction> waiting = new ArrayDeque<>();
 
-    private Ordered(NetSocket target) {
+    private OrderedWriter(NetSocket target) {
       this.target = target;
     }
 
@@ -93,7 +92,7 @@
 
     private void after(long delayMilliseconds, Runnable action) {
       long due = System.nanoTime() + delayMilliseconds * NANOSECONDS_PER_MILLISECOND;
-      waiting.add(new Delayed(due, action));
+      waiting.add(new ScheduledAction(due, action));
       if (waiting.size() == 1) {
         waitForFirst();
       }
@@ -119,10 +118,10 @@
   }
 
   /**
-   * Something that is done at a time. Immutable.
+   * An action scheduled for a point in time. Immutable.
    *
-   * @param dueNanoseconds when, by the monotonic clock
-   * @param action what
+   * @param dueNanoseconds due time on the monotonic clock
+   * @param action the action to run
    */
-  private record Delayed(long dueNanoseconds, Runnable action) {}
+  private record ScheduledAction(long dueNanoseconds, Runnable action) {}
 }
--- a/standin/src/main/java/org/agatefield/standin/relay/RelayStandin.java
+++ b/standin/src/main/java/org/agatefield/standin/relay/RelayStandin.java
@@ -20,8 +20,8 @@
 /**
  * Relays TCP connections to one address.
  *
- * <p>Invariant: the bytes of a connection keep their order, and none is lost before the connection
- * is closed. All state is confined to one event loop.
+ * <p>Invariant: the bytes of a connection stay in order, and none is lost before the connection is
+ * closed. All state is confined to one event loop.
  */
 public final class RelayStandin {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -45,7 +45,7 @@
     this.backward = new RelayDirection(vertx, () -> behaviour);
   }
 
-  /** Starts to relay; the result is the port. */
+  /** Starts relaying; the result is the port. */
   public Future<Integer> start(int port) {
     return vertx
         .createNetServer()
@@ -66,8 +66,8 @@
         .map(HttpServer::actualPort);
   }
 
-  /** Changes how connections are treated, present ones included. */
-  public void behave(RelayBehaviour newBehaviour) {
+  /** Changes the behaviour for new and open connections. */
+  public void applyBehaviour(RelayBehaviour newBehaviour) {
     behaviour = newBehaviour;
     if (behaviour.cut()) {
       List.copyOf(sockets).forEach(NetSocket::close);
@@ -100,7 +100,7 @@
 
   private void setBehaviour(RoutingContext context) {
     try {
-      behave(MAPPER.readValue(context.body().buffer().getBytes(), RelayBehaviour.class));
+      applyBehaviour(MAPPER.readValue(context.body().buffer().getBytes(), RelayBehaviour.class));
       context.response().end();
     } catch (IOException exception) {
       context.response().setStatusCode(400).end("malformed behaviour: " + exception.getMessage());
--- a/standin/src/main/java/org/agatefield/standin/relay/RelayStandinMain.java
+++ b/standin/src/main/java/org/agatefield/standin/relay/RelayStandinMain.java
@@ -7,7 +7,7 @@
 import org.agatefield.model.Address;
 
 /** Runs a TCP relay until the process ends. Used from one thread. */
-@Command(name = "relay-standin", description = "relays TCP connections, with faults on demand")
+@Command(name = "relay-standin", description = "relays TCP connections, with configurable faults")
 public final class RelayStandinMain {
   @Option(name = "--port", description = "port on loopback; 0 for any free one")
   private int port;
@@ -15,7 +15,7 @@
   @Option(name = "--control-port", description = "port of the control interface")
   private int controlPort;
 
-  @Option(name = "--target", description = "where connections are relayed to, IP:port")
+  @Option(name = "--target", description = "address to relay connections to, IP:port")
   private String target = "127.0.0.1:1";
 
   /** Starts the relay and prints its ports. */
--- a/standin/src/main/java/org/agatefield/standin/relay/package-info.java
+++ b/standin/src/main/java/org/agatefield/standin/relay/package-info.java
@@ -1,2 +1,2 @@
-/** A TCP relay that delays, limits, cuts and freezes what it relays. */
+/** A TCP relay that can delay, throttle, close and stall connections. */
 package org.agatefield.standin.relay;
--- a/standin/src/main/java/org/agatefield/standin/service/ExecutionCounts.java
+++ b/standin/src/main/java/org/agatefield/standin/service/ExecutionCounts.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * How often calls were executed. Immutable.
+ * The number of executed calls. Immutable.
  *
- * @param total executions in all
+ * @param total all executions
  * @param byKey executions by idempotency key
  */
 public record ExecutionCounts(long total, Map<String, Integer> byKey) {
--- a/standin/src/main/java/org/agatefield/standin/service/ServiceFaults.java
+++ b/standin/src/main/java/org/agatefield/standin/service/ServiceFaults.java
@@ -1,15 +1,15 @@
 package org.agatefield.standin.service;
 
 /**
- * The faults that a stand-in service has been told to show. Immutable.
+ * The faults that a stand-in service injects. Immutable.
  *
- * @param refuse answers with status 503 and executes nothing
- * @param resetBeforeExecution closes the connection and executes nothing
- * @param resetAfterExecution executes the call and closes the connection
- * @param answerLateMilliseconds time between the execution and the answer
+ * @param refuse answers with status 503 without executing the call
+ * @param resetBeforeExecution resets the connection without executing the call
+ * @param resetAfterExecution executes the call and resets the connection
+ * @param answerLateMilliseconds time between the execution and the response
  * @param slowMilliseconds time between the request and the execution
- * @param largeAnswerBytes bytes that are added to each answer
- * @param calls how many calls the faults apply to; 0 for all
+ * @param largeAnswerBytes padding bytes added to each response
+ * @param calls number of calls that the faults apply to; 0 for all
  */
 public record ServiceFaults(
     boolean refuse,
@@ -20,6 +20,6 @@
     int largeAnswerBytes,
     int calls) {
 
-  /** The service without faults. */
+  /** Injects no faults. */
   public static final ServiceFaults NONE = new ServiceFaults(false, false, false, 0, 0, 0, 0);
 }
--- a/standin/src/main/java/org/agatefield/standin/service/ServiceStandin.java
+++ b/standin/src/main/java/org/agatefield/standin/service/ServiceStandin.java
@@ -16,8 +16,8 @@
 import java.util.zip.CRC32;
 
 /**
- * A stand-in for a plain booking service. It does not know idempotency keys apart from counting
- * them: a call that comes twice is executed twice.
+ * Simulates a plain booking service. It counts executions by idempotency key but does not
+ * deduplicate them: a call that arrives twice is executed twice.
  *
  * <p>All state is confined to the one event loop of its HTTP server.
  */
@@ -38,14 +38,14 @@
   private int faultyCalls;
   private long executions;
 
-  /** Creates a service without bookings; port 0 stands for any free one. */
+  /** Creates a service without bookings; port 0 selects any free port. */
   public ServiceStandin(Vertx vertx, int port, String name) {
     this.vertx = vertx;
     this.port = port;
     this.name = name;
   }
 
-  /** Starts to listen; the result is the port. */
+  /** Starts listening; the result is the port. */
   public Future<Integer> start() {
     Router router = Router.router(vertx);
     router.route().handler(BodyHandler.create(false).setBodyLimit(64L * 1024 * 1024));
@@ -64,7 +64,7 @@
   }
 
   private void book(RoutingContext context) {
-    ServiceFaults active = takeFaults();
+    ServiceFaults active = consumeFaults();
     after(active.slowMilliseconds(), () -> execute(context, active));
   }
 
@@ -102,7 +102,7 @@
   }
 
   private void readBooking(RoutingContext context) {
-    ServiceFaults active = takeFaults();
+    ServiceFaults active = consumeFaults();
     after(active.slowMilliseconds(), () -> answerRead(context, active));
   }
 
@@ -128,7 +128,7 @@
     }
   }
 
-  private ServiceFaults takeFaults() {
+  private ServiceFaults consumeFaults() {
     if (faultyCalls == 0) {
       return ServiceFaults.NONE;
     }
--- a/standin/src/main/java/org/agatefield/standin/service/ServiceStandinMain.java
+++ b/standin/src/main/java/org/agatefield/standin/service/ServiceStandinMain.java
@@ -11,7 +11,7 @@
   @Option(name = "--port", description = "port on loopback; 0 for any free one")
   private int port;
 
-  @Option(name = "--name", description = "the runner's name")
+  @Option(name = "--name", description = "the service's name")
   private String name = "service";
 
   /** Starts the service and prints its port. */
--- a/standin/src/main/java/org/agatefield/standin/service/package-info.java
+++ b/standin/src/main/java/org/agatefield/standin/service/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for a plain booking service that counts what it executes. */
+/** A stand-in for a plain booking service that counts its executions. */
 package org.agatefield.standin.service;
--- a/standin/src/main/java/org/agatefield/standin/store/CallCounts.java
+++ b/standin/src/main/java/org/agatefield/standin/store/CallCounts.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts the calls by verb and kind, and the watches that wait. Safe for use by any thread; state
- * is guarded by the object's lock.
+ * Counts calls by verb and kind, and open watches. Thread-safe; state is guarded by the object's
+ * lock.
  */
 final class CallCounts {
   private final Map<String, Map<String, Long>> calls = new TreeMap<>();
@@ -17,7 +17,7 @@
     calls.computeIfAbsent(verb, created -> new TreeMap<>()).merge(plural, 1L, Long::sum);
   }
 
-  synchronized void watches(int difference) {
+  synchronized void addWaitingWatches(int difference) {
     waitingWatches += difference;
   }
 
--- a/standin/src/main/java/org/agatefield/standin/store/ObjectTable.java
+++ b/standin/src/main/java/org/agatefield/standin/store/ObjectTable.java
@@ -15,34 +15,34 @@
 import java.util.function.Consumer;
 
 /**
- * The objects of the stand-in store, with versions, conditional writes and a log of changes.
+ * Stores the objects of the stand-in store, with versions, conditional writes and a change log.
  *
- * <p>Invariants: versions rise with every write over all kinds and are never used again; the log
- * holds the last changes in order. All state is guarded by the table's lock. Observers are called
- * under it, in the order of the changes.
+ * <p>Invariants: every write to any kind increases the version, and no version is reused; the log
+ * holds the latest changes in order. All state is guarded by the table's lock. Observers are called
+ * while the lock is held, in the order of the changes.
  */
 public final class ObjectTable {
   /** The largest body of a write, in bytes. */
   public static final int MAXIMUM_OBJECT_BYTES = 1_048_576;
 
-  private static final int KEPT_CHANGES = 10_000;
+  private static final int RETAINED_CHANGES = 10_000;
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final Map<String, NavigableMap<String, ObjectNode>> objects = new HashMap<>();
   private final Deque<Change> changes = new ArrayDeque<>();
   private final List<Consumer<Change>> observers = new ArrayList<>();
   private long version;
-  private long forgottenVersion;
+  private long compactedVersion;
 
   /**
-   * One change. Immutable as long as nobody changes {@code object}.
+   * A change of an object. Immutable as long as {@code object} is not modified.
    *
    * @param type ADDED, MODIFIED or DELETED
    */
   public record Change(long version, String plural, String type, ObjectNode object) {}
 
   /**
-   * The answer to a call. Immutable as long as nobody changes {@code body}.
+   * The response to a call. Immutable as long as {@code body} is not modified.
    *
    * @param status the HTTP status
    * @param body an object, a list or a status
@@ -55,7 +55,7 @@
     return found == null ? notFound(plural, name) : new Result(200, found.deepCopy());
   }
 
-  /** Creates an object if none of that name exists. */
+  /** Creates an object if no object of that name exists. */
   public synchronized Result create(String plural, JsonNode body, int bytes) {
     String name = body.path("metadata").path("name").asText();
     if (bytes > MAXIMUM_OBJECT_BYTES) {
@@ -70,7 +70,7 @@
     return store(plural, name, body, "ADDED", 201);
   }
 
-  /** Replaces an object if its version is the one named in the body. */
+  /** Replaces an object if its version matches the one in the body, if any. */
   public synchronized Result update(String plural, String name, JsonNode body, int bytes) {
     ObjectNode found = kind(plural).get(name);
     if (bytes > MAXIMUM_OBJECT_BYTES) {
@@ -86,7 +86,7 @@
     return store(plural, name, body, "MODIFIED", 200);
   }
 
-  /** Deletes an object if its version is the one in the preconditions, if there are any. */
+  /** Deletes an object if its version matches the one in the preconditions, if any. */
   public synchronized Result delete(String plural, String name, JsonNode options) {
     ObjectNode found = kind(plural).get(name);
     if (found == null) {
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Lists a kind in the order of names.
+   * Lists the objects of a kind in the order of their names.
    *
-   * @param limit the most objects, or 0 for all
+   * @param limit the maximum number of objects, or 0 for all
    * @param after only names after this one
    */
   public synchronized Result list(String plural, int limit, String after) {
@@ -127,12 +127,12 @@
   }
 
   /**
-   * Calls {@code observer} with every change after a version, past ones at once.
+   * Calls {@code observer} with every change after a version; past changes are reported at once.
    *
-   * @return false if changes after that version are no longer kept
+   * @return false if the changes after that version are no longer retained
    */
   public synchronized boolean observe(long fromVersion, Consumer<Change> observer) {
-    if (fromVersion < forgottenVersion || fromVersion > version) {
+    if (fromVersion < compactedVersion || fromVersion > version) {
       return false;
     }
     changes.stream().filter(change -> change.version() > fromVersion).forEach(observer);
@@ -140,23 +140,23 @@
     return true;
   }
 
-  /** Ends an observation. */
-  public synchronized void forget(Consumer<Change> observer) {
+  /** Removes an observer. */
+  public synchronized void stopObserving(Consumer<Change> observer) {
     observers.remove(observer);
   }
 
-  /** Forgets all past changes, so that watches from earlier versions are refused as gone. */
+  /** Discards all past changes, so that watches from earlier versions are refused as expired. */
   public synchronized void compact() {
     changes.clear();
-    forgottenVersion = version;
+    compactedVersion = version;
   }
 
-  /** Returns the last version given. */
+  /** Returns the latest version. */
   public synchronized long version() {
     return version;
   }
 
-  /** Returns a Kubernetes status as an answer. */
+  /** Returns a response with a Kubernetes status object. */
   public static Result status(int code, String reason, String message) {
     ObjectNode root = MAPPER.createObjectNode();
     root.put("kind", "Status").put("apiVersion", "v1");
@@ -177,8 +177,8 @@
 
   private void record(Change change) {
     changes.addLast(change);
-    if (changes.size() > KEPT_CHANGES) {
-      forgottenVersion = changes.removeFirst().version();
+    if (changes.size() > RETAINED_CHANGES) {
+      compactedVersion = changes.removeFirst().version();
     }
     List.copyOf(observers).forEach(observer -> observer.accept(change));
   }
--- a/standin/src/main/java/org/agatefield/standin/store/StoreFaults.java
+++ b/standin/src/main/java/org/agatefield/standin/store/StoreFaults.java
@@ -4,23 +4,24 @@
 import java.util.Optional;
 
 /**
- * The faults that a test asks of the stand-in store; each post replaces all of them. Immutable.
+ * The faults that the stand-in store injects; each POST replaces all of them. Immutable.
  *
- * @param down every call is refused with 503 without effect and watches end
- * @param hang no call is answered and none takes effect
+ * @param down refuses every call with 503 without effect and ends all watches
+ * @param hang neither answers nor applies any call
  * @param slowMilliseconds delay before a call takes effect
- * @param loseAnswersAfterEffect how many answers of writes to lose after the write took effect
- * @param loseAnswersShare share of the answers of writes to lose, from 0 to 1
- * @param seed of the draws for {@code loseAnswersShare}
- * @param delayEffectMilliseconds writes get no answer and take effect after this time
- * @param delayEffectCount how many writes that holds for, or 0 for all
- * @param cutWatches end all watches once
- * @param muteWatches watches stay open and report nothing
- * @param forgetChanges forget past changes, so that watches must list again
- * @param lagMilliseconds reads, lists and watches of {@code lagKind} show the state this long ago
- * @param lagKind the plural kind that lags; {@code instances} if none is named
- * @param kind limits lost answers and late effects to a plural kind
- * @param verb limits lost answers and late effects to create, update or delete
+ * @param loseAnswersAfterEffect number of writes that are applied but whose response is lost
+ * @param loseAnswersShare share of write responses to lose, from 0 to 1
+ * @param seed of the random numbers for {@code loseAnswersShare}
+ * @param delayEffectMilliseconds writes are not answered and take effect after this time
+ * @param delayEffectCount number of writes with a delayed effect, or 0 for all
+ * @param cutWatches ends all watches once
+ * @param muteWatches keeps watches open without reporting changes
+ * @param forgetChanges discards past changes, so that watchers must list again
+ * @param lagMilliseconds reads, lists and watches of {@code lagKind} return the state from this
+ *     long ago
+ * @param lagKind the plural kind with stale reads; {@code instances} by default
+ * @param kind limits lost responses and delayed effects to a plural kind
+ * @param verb limits lost responses and delayed effects to create, update or delete
  */
 @JsonIgnoreProperties(ignoreUnknown = false)
 public record StoreFaults(
@@ -40,25 +41,25 @@
     Optional<String> kind,
     Optional<String> verb) {
 
-  /** Fills in what a document leaves out. */
+  /** Replaces missing optional fields by empty values. */
   public StoreFaults {
     lagKind = lagKind == null ? Optional.empty() : lagKind;
     kind = kind == null ? Optional.empty() : kind;
     verb = verb == null ? Optional.empty() : verb;
   }
 
-  /** Returns the faults of a store that works. */
+  /** Returns a configuration without faults. */
   public static StoreFaults none() {
     return new StoreFaults(
         false, false, 0, 0, 0, 0, 0, 0, false, false, false, 0, null, null, null);
   }
 
-  /** Returns whether faults of writes hold for a write. */
-  boolean concerns(String plural, String writeVerb) {
+  /** Returns whether the write faults apply to a write. */
+  boolean appliesTo(String plural, String writeVerb) {
     return kind.map(plural::equals).orElse(true) && verb.map(writeVerb::equals).orElse(true);
   }
 
-  /** Returns how long ago the state is that reads of a kind show, in milliseconds. */
+  /** Returns the age of the state that reads of a kind return, in milliseconds. */
   long lagOf(String plural) {
     return lagKind.orElse("instances").equals(plural) ? lagMilliseconds : 0;
   }
--- a/standin/src/main/java/org/agatefield/standin/store/StoreServer.java
+++ b/standin/src/main/java/org/agatefield/standin/store/StoreServer.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The HTTP side of the stand-in store.
+ * Serves the stand-in store over HTTP.
  *
- * <p>Runs on one event loop; fields are used on it alone, but for {@link #table}.
+ * <p>Confined to one event loop, except for {@link #table}.
  */
 public final class StoreServer {
   private static final String OBJECTS = "/apis/agatefield.org/v1/namespaces/:namespace/:kind";
@@ -30,21 +30,21 @@
   private final Vertx vertx;
   private final ObjectTable table;
   private final CallCounts counts = new CallCounts();
-  private final LaggingReads lagging = new LaggingReads();
+  private final StateHistory history = new StateHistory();
   private final Set<WatchAnswer> watches = ConcurrentHashMap.newKeySet();
   private StoreFaults faults = StoreFaults.none();
   private Random random = new Random(0);
   private int answersToLose;
   private int effectsToDelay;
 
-  /** Creates a server of a table. */
+  /** Creates a server for a table. */
   public StoreServer(Vertx vertx, ObjectTable table) {
     this.vertx = vertx;
     this.table = table;
   }
 
   /**
-   * Starts to listen on loopback.
+   * Starts listening on loopback.
    *
    * @param port the port, or 0 for a free one
    */
@@ -58,7 +58,7 @@
     router.post(OBJECTS).handler(context -> write(context, "create"));
     router.put(OBJECTS + "/:name").handler(context -> write(context, "update"));
     router.delete(OBJECTS + "/:name").handler(context -> write(context, "delete"));
-    table.observe(table.version(), this::keepState);
+    table.observe(table.version(), this::recordState);
     return vertx.createHttpServer().requestHandler(router).listen(port, "127.0.0.1");
   }
 
@@ -108,34 +108,37 @@
     int limit = Integer.parseInt(request.getParam("limit", "0"));
     ObjectTable.Result now = table.list(plural, limit, request.getParam("continue", ""));
     long lag = faults.lagOf(plural);
-    answer(context, lag == 0 ? now : lagging.at(System.currentTimeMillis() - lag, now));
+    answer(context, lag == 0 ? now : history.at(System.currentTimeMillis() - lag, now));
   }
 
   private void watch(RoutingContext context, String plural) {
     long fromVersion = Long.parseLong(context.request().getParam("resourceVersion", "0"));
     WatchAnswer watch = new WatchAnswer(vertx, context.response(), plural, () -> faults);
-    boolean kept = watch.start(table, fromVersion);
-    if (!kept) {
-      answer(context, ObjectTable.status(410, "Expired", "changes since are no longer kept"));
+    boolean started = watch.start(table, fromVersion);
+    if (!started) {
+      answer(
+          context,
+          ObjectTable.status(
+              410, "Expired", "changes after this resourceVersion are no longer retained"));
       return;
     }
     watches.add(watch);
-    counts.watches(1);
+    counts.addWaitingWatches(1);
     context
         .response()
         .closeHandler(
             closed -> {
               watch.stop(table);
               watches.remove(watch);
-              counts.watches(-1);
+              counts.addWaitingWatches(-1);
             });
   }
 
   private void write(RoutingContext context, String verb) {
     String plural = context.pathParam("kind");
     counts.count(verb, plural);
-    boolean concerned = faults.concerns(plural, verb);
-    if (concerned && !faults.down() && delaysEffect()) {
+    boolean faulty = faults.appliesTo(plural, verb);
+    if (faulty && !faults.down() && delaysEffect()) {
       vertx.setTimer(faults.delayEffectMilliseconds(), fired -> apply(context, verb));
       return;
     }
@@ -143,7 +146,7 @@
         context,
         () -> {
           ObjectTable.Result result = apply(context, verb);
-          if (concerned && result.status() < 300 && losesAnswer()) {
+          if (faulty && result.status() < 300 && losesAnswer()) {
             context.request().connection().close();
             return;
           }
@@ -196,9 +199,9 @@
     action.run();
   }
 
-  private void keepState(ObjectTable.Change change) {
+  private void recordState(ObjectTable.Change change) {
     if (change.plural().equals(faults.lagKind().orElse("instances"))) {
-      lagging.add(System.currentTimeMillis(), table.list(change.plural(), 0, ""));
+      history.add(System.currentTimeMillis(), table.list(change.plural(), 0, ""));
     }
   }
 
@@ -211,7 +214,7 @@
     try {
       context.response().end(Buffer.buffer(MAPPER.writeValueAsBytes(result.body())));
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException("an object is not JSON", exception);
+      throw new IllegalStateException("cannot serialize the object as JSON", exception);
     }
   }
 
--- a/standin/src/main/java/org/agatefield/standin/store/StoreStandinMain.java
+++ b/standin/src/main/java/org/agatefield/standin/store/StoreStandinMain.java
@@ -9,8 +9,8 @@
 /**
  * Runs the stand-in store until the process ends. Used from one thread.
  *
- * <p>Prints {@code listening on 127.0.0.1:PORT} once it accepts calls. {@code POST /faults} takes
- * {@link StoreFaults} as JSON, {@code GET /counts} answers the calls by verb and kind.
+ * <p>Prints {@code listening on 127.0.0.1:PORT} when it accepts calls. {@code POST /faults} takes
+ * {@link StoreFaults} as JSON, {@code GET /counts} returns the number of calls by verb and kind.
  */
 @Command(name = "store-standin", description = "runs a stand-in object store")
 public final class StoreStandinMain {
--- a/standin/src/main/java/org/agatefield/standin/store/WatchAnswer.java
+++ b/standin/src/main/java/org/agatefield/standin/store/WatchAnswer.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * One watch of the stand-in store: writes changes as JSON lines, and a bookmark each few seconds.
+ * Writes the response to a watch: changes as JSON lines and a bookmark every 5 seconds.
  *
- * <p>Used on one event loop alone.
+ * <p>Confined to one event loop.
  */
 final class WatchAnswer {
   private static final long BOOKMARK_INTERVAL_MILLISECONDS = 5_000;
@@ -31,7 +31,7 @@
     this.faults = faults;
   }
 
-  /** Starts the watch unless changes after the version are no longer kept. */
+  /** Starts the watch unless the changes after the version are no longer retained. */
   boolean start(ObjectTable table, long fromVersion) {
     response.setChunked(true).putHeader("Content-Type", "application/json");
     reportedVersion = fromVersion;
@@ -48,7 +48,7 @@
 
   void stop(ObjectTable table) {
     vertx.cancelTimer(timer);
-    table.forget(observer);
+    table.stopObserving(observer);
   }
 
   void end() {
--- a/standin/src/main/java/org/agatefield/standin/store/package-info.java
+++ b/standin/src/main/java/org/agatefield/standin/store/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for the platform's object store and instance list, with faults on demand. */
+/** A stand-in for the platform's object store and instance list, with configurable faults. */
 package org.agatefield.standin.store;
--- a/standin/src/main/java/org/agatefield/standin/weights/WeightStoreStandin.java
+++ b/standin/src/main/java/org/agatefield/standin/weights/WeightStoreStandin.java
@@ -9,11 +9,11 @@
 import io.vertx.ext.web.RoutingContext;
 
 /**
- * A stand-in for the weight store: a load takes a fixed time, and longer the more others run beyond
- * those that go at full speed.
+ * Simulates the weight store: a load takes a fixed time, which grows with the number of concurrent
+ * loads above the full-speed limit.
  *
- * <p>Loads start no faster than the rate allows; the ones over it wait. All state is confined to
- * the one event loop of its HTTP server.
+ * <p>The rate of load starts is limited; loads above the rate wait. All state is confined to the
+ * one event loop of its HTTP server.
  */
 public final class WeightStoreStandin {
   private static final long NANOSECONDS_PER_SECOND = 1_000_000_000L;
@@ -32,10 +32,10 @@
   /**
    * Creates a store.
    *
-   * @param port 0 for any free one
-   * @param loadsPerSecond loads that may start each second
-   * @param concurrentLoads loads at once at full speed
-   * @param loadMilliseconds time of a load at full speed
+   * @param port the port on loopback; 0 for any free port
+   * @param loadsPerSecond maximum number of loads started per second
+   * @param concurrentLoads number of concurrent loads at full speed
+   * @param loadMilliseconds time of a load at full speed, in milliseconds
    */
   public WeightStoreStandin(
       Vertx vertx, int port, double loadsPerSecond, int concurrentLoads, long loadMilliseconds) {
@@ -46,7 +46,7 @@
     this.loadMilliseconds = loadMilliseconds;
   }
 
-  /** Starts to listen; the result is the port. */
+  /** Starts listening; the result is the port. */
   public Future<Integer> start() {
     Router router = Router.router(vertx);
     router.post("/loads/:version").handler(this::load);
--- a/standin/src/main/java/org/agatefield/standin/weights/WeightStoreStandinMain.java
+++ b/standin/src/main/java/org/agatefield/standin/weights/WeightStoreStandinMain.java
@@ -11,10 +11,10 @@
   @Option(name = "--port", description = "port on loopback; 0 for any free one")
   private int port;
 
-  @Option(name = "--loads-per-second", description = "loads that may start each second")
+  @Option(name = "--loads-per-second", description = "maximum number of loads started per second")
   private double loadsPerSecond = 1.5;
 
-  @Option(name = "--concurrent-loads", description = "loads at once at full speed")
+  @Option(name = "--concurrent-loads", description = "number of concurrent loads at full speed")
   private int concurrentLoads = 6;
 
   @Option(name = "--load-milliseconds", description = "time of a load at full speed")
--- a/standin/src/test/java/org/agatefield/standin/relay/RelayStandinTest.java
+++ b/standin/src/test/java/org/agatefield/standin/relay/RelayStandinTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The relay keeps what it is for: every byte, in order, whatever the delay and bandwidth. */
+/** Tests that the relay delivers every byte in order under any delay and bandwidth. */
 class RelayStandinTest {
   private static final int BYTES = 300_000;
 
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void keepsTheOrderOfBytesUnderChangingDelaysAndBandwidth() throws IOException {
+  void preservesByteOrderUnderChangingDelayAndBandwidth() throws IOException {
     NetServer echo = vertx.createNetServer().connectHandler(RelayStandinTest::echo);
     int target = join(echo.listen(0, "127.0.0.1")).actualPort();
     RelayStandin relay = new RelayStandin(vertx, "127.0.0.1", target);
@@ -36,7 +36,7 @@
       socket.setSoTimeout(30_000);
       for (int start = 0; start < BYTES; start += BYTES / 30) {
         int round = start / (BYTES / 30);
-        relay.behave(new RelayBehaviour(round % 4, round % 3 * 100_000_000L, false, false));
+        relay.applyBehaviour(new RelayBehaviour(round % 4, round % 3 * 100_000_000L, false, false));
         socket.getOutputStream().write(sent, start, BYTES / 30);
       }
       received = socket.getInputStream().readNBytes(BYTES);
