--- a/measurement/src/main/java/org/agatefield/measure/Arrival.java
+++ b/measurement/src/main/java/org/agatefield/measure/Arrival.java
@@ -4,18 +4,18 @@
 import org.agatefield.model.Priority;
 
 /**
- * A request that a caller sends for the first time. Immutable.
+ * The first submission of a request by a caller. Immutable.
  *
- * @param nanoseconds when
+ * @param nanoseconds arrival time
  * @param caller the caller's number
  * @param region the caller's region
- * @param model the deployment or adapter
+ * @param model the requested deployment or adapter
  * @param deployment the deployment
- * @param priority its priority
- * @param promptTokens tokens of the prompt
- * @param outputTokens tokens that the answer will have
- * @param maximumTokens tokens that the caller allows
- * @param prefixHashes hashes of the prompt's growing prefixes
+ * @param priority the priority of the request
+ * @param promptTokens number of tokens in the prompt
+ * @param outputTokens number of tokens in the answer
+ * @param maximumTokens token limit set by the caller
+ * @param prefixHashes hashes of the prompt's prefixes, shortest first
  */
 record Arrival(
     long nanoseconds,
@@ -31,17 +31,17 @@
   private static final long FIRST_TOKEN_TARGET_NANOSECONDS = 390_000_000L;
   private static final long TOKEN_TARGET_NANOSECONDS = 59_000_000L;
 
-  /** Returns when the first token must be there. */
+  /** Returns the target time of the first token. */
   long firstTokenTarget() {
     return nanoseconds + FIRST_TOKEN_TARGET_NANOSECONDS;
   }
 
-  /** Returns when the whole answer must be there. */
+  /** Returns the target time of the complete answer. */
   long wholeAnswerTarget() {
     return firstTokenTarget() + outputTokens * TOKEN_TARGET_NANOSECONDS;
   }
 
-  /** Returns the deadline that the caller states, from the tokens that it allows. */
+  /** Returns the caller's deadline, derived from its token limit. */
   long deadline() {
     return firstTokenTarget() + maximumTokens * TOKEN_TARGET_NANOSECONDS;
   }
--- a/measurement/src/main/java/org/agatefield/measure/CallerRequest.java
+++ b/measurement/src/main/java/org/agatefield/measure/CallerRequest.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * A request as its caller sees it: sent again without pause whenever the answer is slow, refused or
- * missing, until its deadline. Confined to the driver's thread.
+ * A request from the caller's side. The caller retries until the deadline: at once after an attempt
+ * times out, and after {@link #PAUSE_MILLISECONDS} when an attempt is refused or fails. Confined to
+ * the driver's thread.
  */
 final class CallerRequest {
   private static final double PAUSE_MILLISECONDS = 50;
@@ -16,9 +17,9 @@
   private final List<Execution> open = new ArrayList<>();
   private final boolean closesOnTimeout;
   private int attempts;
-  private int entriesFailed;
+  private int failedEntries;
   private long firstTokenNanoseconds = Long.MAX_VALUE;
-  private boolean over;
+  private boolean done;
 
   CallerRequest(Driver driver, Arrival arrival) {
     this.driver = driver;
@@ -32,20 +33,21 @@
   }
 
   private void attempt() {
-    if (over || driver.events.now() >= arrival.deadline()) {
+    if (done || driver.events.now() >= arrival.deadline()) {
       return;
     }
     attempts++;
-    EntryInstance entry = driver.entryFor(arrival, entriesFailed);
+    EntryInstance entry = driver.entryFor(arrival, failedEntries);
     int attempt = attempts;
-    driver.events.after(driver.scenario.patienceSeconds() * 1_000, () -> patienceOver(attempt));
-    if (!entry.silent) {
+    driver.events.after(
+        driver.scenario.attemptTimeoutSeconds() * 1_000, () -> attemptTimedOut(attempt));
+    if (!entry.unreachable) {
       driver.events.after(driver.profile.callerLatencyMilliseconds(), () -> arriveAt(entry));
     }
   }
 
   private void arriveAt(EntryInstance entry) {
-    if (over) {
+    if (done) {
       return;
     }
     RetryHandling handling = driver.variant.retries();
@@ -65,12 +67,12 @@
     execution.start();
   }
 
-  private void patienceOver(int attempt) {
-    if (over || attempt != attempts || firstTokenNanoseconds != Long.MAX_VALUE) {
+  private void attemptTimedOut(int attempt) {
+    if (done || attempt != attempts || firstTokenNanoseconds != Long.MAX_VALUE) {
       return;
     }
-    boolean silentEntry = driver.entryFor(arrival, entriesFailed).silent;
-    entriesFailed += silentEntry ? 1 : 0;
+    boolean entryUnreachable = driver.entryFor(arrival, failedEntries).unreachable;
+    failedEntries += entryUnreachable ? 1 : 0;
     if (closesOnTimeout && driver.variant.retries() != RetryHandling.JOINED) {
       closeAll();
     }
@@ -79,7 +81,7 @@
 
   void refused(Execution execution, Duration retryAfter) {
     open.remove(execution);
-    if (!over && open.isEmpty()) {
+    if (!done && open.isEmpty()) {
       retryLater();
     }
   }
@@ -97,9 +99,9 @@
     firstTokenNanoseconds = Math.min(firstTokenNanoseconds, received);
   }
 
-  void whole(Execution execution) {
+  void completed(Execution execution) {
     open.remove(execution);
-    if (over) {
+    if (done) {
       return;
     }
     long received = driver.events.now() + driver.callerLatencyNanoseconds();
@@ -111,13 +113,13 @@
   }
 
   private void deadline() {
-    if (!over) {
+    if (!done) {
       end(false);
     }
   }
 
   private void end(boolean inTime) {
-    over = true;
+    done = true;
     closeAll();
     driver.measurement.ended(arrival, inTime);
   }
--- a/measurement/src/main/java/org/agatefield/measure/DemandGenerator.java
+++ b/measurement/src/main/java/org/agatefield/measure/DemandGenerator.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Draws the arrivals of a run; the same seed gives the same ones to every policy. */
+/** Generates the arrivals of a run; the same seed gives the same arrivals for every policy. */
 final class DemandGenerator {
   static final int CALLERS = 12;
   private static final double POPULARITY_EXPONENT = 0.8;
@@ -144,7 +144,7 @@
     return caller % 4 == 0 ? Priority.INTERACTIVE : Priority.STANDARD;
   }
 
-  /** Three quarters of a prompt are shared within its group, the rest is its own. */
+  /** Returns prefix hashes; the first three quarters are shared by the prompts of a group. */
   private List<Long> prefixes(int model, int adapter, int group, int promptTokens) {
     List<Long> prefixes = new ArrayList<>();
     int count = promptTokens / TOKENS_PER_PREFIX;
--- a/measurement/src/main/java/org/agatefield/measure/Driver.java
+++ b/measurement/src/main/java/org/agatefield/measure/Driver.java
@@ -13,11 +13,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Runs one scenario under one set of policies: steps the runners by the service-time model and
- * calls the decisions of the daemon. Deterministic for a seed. Confined to one thread.
+ * Runs one scenario under one set of policies: steps the simulated runners and calls the daemon's
+ * decision code. Deterministic for a seed. Confined to one thread.
  */
 final class Driver {
-  /** Placement settles before anything is counted or changes. */
+  /** Lets the placement converge before demand changes and measurements start. */
   static final int WARM_UP_SECONDS = 60;
 
   static final double CONNECT_TIMEOUT_MILLISECONDS = 1_000;
@@ -70,7 +70,7 @@
   }
 
   Measurement run() {
-    planner.settle();
+    planner.applyInitialPlacement();
     arrivals.forEach(
         arrival ->
             events.at(arrival.nanoseconds(), () -> new CallerRequest(this, arrival).start()));
@@ -86,7 +86,7 @@
         measurement.begin(busyNanoseconds());
       }
       if (step % STEPS_PER_SECOND == 0) {
-        eachSecond();
+        runOncePerSecond();
       }
     }
     measurement.end(busyNanoseconds());
@@ -99,30 +99,30 @@
 
   private void tick() {
     if (variant.isOracle()) {
-      fleet.takeReports();
+      fleet.collectReports();
     }
-    entries.stream().filter(entry -> !entry.silent).forEach(entry -> entry.dispatcher.tick());
+    entries.stream().filter(entry -> !entry.unreachable).forEach(entry -> entry.dispatcher.tick());
   }
 
-  private void eachSecond() {
+  private void runOncePerSecond() {
     if (!variant.isOracle()) {
-      events.after(REPORT_LAG_MILLISECONDS, fleet::takeReports);
+      events.after(REPORT_LAG_MILLISECONDS, fleet::collectReports);
     }
     planner.plan();
   }
 
   private List<DemandSample> demand() {
     if (variant.isOracle()) {
-      return comingDemand();
+      return futureDemand();
     }
     List<DemandSample> samples = new ArrayList<>();
     entries.stream()
-        .filter(entry -> !entry.silent)
+        .filter(entry -> !entry.unreachable)
         .forEach(entry -> samples.addAll(entry.dispatcher.localDemand()));
     return samples;
   }
 
-  private List<DemandSample> comingDemand() {
+  private List<DemandSample> futureDemand() {
     Map<String, Integer> counts = new HashMap<>();
     long end = events.now() + TimeUnit.SECONDS.toNanos(ORACLE_HORIZON_SECONDS);
     for (Arrival arrival : arrivals) {
@@ -142,8 +142,8 @@
 
   private void scheduleFailures() {
     switch (scenario) {
-      case RUNNER_LOST -> loseRunner("runner-0", 40, 80);
-      case DOMAIN_LOST -> silenceDomain(profile.runnerDomains().get(1), 40, 90);
+      case RUNNER_LOST -> crashRunner("runner-0", 40, 80);
+      case DOMAIN_LOST -> disconnectDomain(profile.runnerDomains().get(1), 40, 90);
       case STORE_DOWN -> {
         atSecond(20, () -> planner.storeDown = true);
         atSecond(100, () -> planner.storeDown = false);
@@ -152,34 +152,34 @@
     }
   }
 
-  private void loseRunner(String name, int from, int until) {
-    atSecond(from, () -> fleet.runners.get(name).die());
-    atSecond(from + DETECTION_SECONDS, () -> fleet.believe(name, false));
-    atSecond(until, () -> fleet.runners.get(name).comeBack());
-    atSecond(until + DETECTION_SECONDS, () -> comeBack(name));
+  private void crashRunner(String name, int from, int until) {
+    atSecond(from, () -> fleet.runners.get(name).crash());
+    atSecond(from + DETECTION_SECONDS, () -> fleet.setDetectedAlive(name, false));
+    atSecond(until, () -> fleet.runners.get(name).restart());
+    atSecond(until + DETECTION_SECONDS, () -> rejoin(name));
   }
 
-  private void comeBack(String name) {
+  private void rejoin(String name) {
     fleet.ledgers.computeIfPresent(
         name, (ignored, ledger) -> LedgerTransitions.restarted(ledger, ledger.bootIdentifier()));
-    fleet.believe(name, true);
+    fleet.setDetectedAlive(name, true);
   }
 
-  private void silenceDomain(FailureDomain domain, int from, int until) {
+  private void disconnectDomain(FailureDomain domain, int from, int until) {
     for (Upstream upstream : fleet.current().upstreams()) {
       if (upstream.failureDomain().equals(domain)) {
-        atSecond(from, () -> fleet.runners.get(upstream.name()).fallSilent());
-        atSecond(from + DETECTION_SECONDS, () -> fleet.believe(upstream.name(), false));
-        atSecond(until, () -> fleet.runners.get(upstream.name()).comeBack());
-        atSecond(until + DETECTION_SECONDS, () -> comeBack(upstream.name()));
+        atSecond(from, () -> fleet.runners.get(upstream.name()).disconnect());
+        atSecond(from + DETECTION_SECONDS, () -> fleet.setDetectedAlive(upstream.name(), false));
+        atSecond(until, () -> fleet.runners.get(upstream.name()).restart());
+        atSecond(until + DETECTION_SECONDS, () -> rejoin(upstream.name()));
       }
     }
     entries.stream()
         .filter(entry -> entry.self().failureDomain().equals(domain))
         .forEach(
             entry -> {
-              atSecond(from, () -> entry.silent = true);
-              atSecond(until, () -> entry.silent = false);
+              atSecond(from, () -> entry.unreachable = true);
+              atSecond(until, () -> entry.unreachable = false);
             });
   }
 
@@ -187,7 +187,7 @@
     events.at(TimeUnit.SECONDS.toNanos(WARM_UP_SECONDS + second), action);
   }
 
-  /** Returns the home that a caller uses; after a failed one the next. */
+  /** Returns the home instance of a caller, or a later one in the ranking after failures. */
   EntryInstance entryFor(Arrival arrival, int failed) {
     List<EntryInstance> ranked =
         homeCache.computeIfAbsent(
--- a/measurement/src/main/java/org/agatefield/measure/EntryInstance.java
+++ b/measurement/src/main/java/org/agatefield/measure/EntryInstance.java
@@ -21,7 +21,7 @@
 import org.agatefield.model.InstanceState;
 import org.agatefield.settings.DaemonSettings;
 
-/** An entry instance with a daemon's own dispatcher. Confined to the driver's thread. */
+/** An entry instance with the dispatcher of the daemon. Confined to the driver's thread. */
 final class EntryInstance implements InstanceDirectory, InvariantMonitor {
   private static final double RETRY_SHARE = 0.2;
   private static final double RETRY_RESERVE = 20;
@@ -39,7 +39,7 @@
 
   final RoutingDispatcher dispatcher;
   final RetryPolicy callerRetries = new RetryBudget(RETRY_SHARE, RETRY_RESERVE);
-  boolean silent;
+  boolean unreachable;
   private final Instance self;
   private long violations;
 
--- a/measurement/src/main/java/org/agatefield/measure/EventQueue.java
+++ b/measurement/src/main/java/org/agatefield/measure/EventQueue.java
@@ -3,7 +3,9 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Runs actions at their times, those of one time in the order given. Confined to one thread. */
+/**
+ * Runs actions at simulated times, and in order of submission at the same time. Not thread-safe.
+ */
 final class EventQueue {
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private long now;
--- a/measurement/src/main/java/org/agatefield/measure/Execution.java
+++ b/measurement/src/main/java/org/agatefield/measure/Execution.java
@@ -9,20 +9,20 @@
 import org.agatefield.model.RunState;
 
 /**
- * A request inside an entry instance, from admission to its last attempt upstream. Confined to the
- * driver's thread.
+ * The execution of a request by an entry instance, from admission to the last attempt on an
+ * upstream. Confined to the driver's thread.
  */
-final class Execution implements Work.Listener {
+final class Execution implements RunnerAttempt.Listener {
   final EntryInstance entry;
   private final Driver driver;
   private final CallerRequest owner;
   private CompletableFuture<Dispatch> future;
   private Dispatch dispatch;
   private Runner runner;
-  private Work work;
+  private RunnerAttempt attempt;
   private boolean answering;
   private boolean reachedRunner;
-  private boolean over;
+  private boolean done;
 
   Execution(Driver driver, CallerRequest owner, EntryInstance entry) {
     this.driver = driver;
@@ -46,22 +46,22 @@
     await(entry.dispatcher.acquire(request));
   }
 
-  boolean isOver() {
-    return over;
+  boolean isDone() {
+    return done;
   }
 
   double busyNanoseconds() {
-    return work == null ? 0 : work.busyNanoseconds;
+    return attempt == null ? 0 : attempt.busyNanoseconds;
   }
 
-  /** Ends the execution because nobody waits for it any more. */
+  /** Cancels the execution because its caller no longer waits for it. */
   void cancel() {
-    if (over) {
+    if (done) {
       return;
     }
-    over = true;
-    if (work != null) {
-      runner.cancel(work);
+    done = true;
+    if (attempt != null) {
+      runner.cancel(attempt);
     }
     if (dispatch == null) {
       future.cancel(false);
@@ -75,7 +75,7 @@
     dispatch = null;
     acquired.whenComplete(
         (found, failure) -> {
-          if (over) {
+          if (done) {
             return;
           }
           if (failure != null) {
@@ -87,7 +87,7 @@
   }
 
   private void refused(AgatefieldException failure) {
-    over = true;
+    done = true;
     driver.measurement.refusedAttempts++;
     if (failure.runState() == RunState.NO && reachedRunner) {
       driver.measurement.falseRefusals++;
@@ -107,14 +107,14 @@
   }
 
   private void arriveAtRunner(Dispatch current) {
-    if (over || dispatch != current) {
+    if (done || dispatch != current) {
       return;
     }
     if (!runner.isAlive()) {
       await(entry.dispatcher.reacquire(current, DispatchOutcome.UNREACHABLE));
       return;
     }
-    if (runner.isSilent()) {
+    if (runner.isUnreachable()) {
       driver.events.after(Driver.CONNECT_TIMEOUT_MILLISECONDS, () -> connectTimedOut(current));
       return;
     }
@@ -122,23 +122,23 @@
     if (!entry.region().equals(current.upstream().failureDomain().region())) {
       driver.measurement.linkBytes += driver.linkBytes(owner.arrival);
     }
-    work = new Work(owner.arrival, this);
-    runner.accept(work);
+    attempt = new RunnerAttempt(owner.arrival, this);
+    runner.accept(attempt);
   }
 
   private void connectTimedOut(Dispatch current) {
-    if (!over && dispatch == current) {
+    if (!done && dispatch == current) {
       await(entry.dispatcher.reacquire(current, DispatchOutcome.UNREACHABLE));
     }
   }
 
   @Override
   public void firstToken() {
-    Work current = work;
+    RunnerAttempt current = attempt;
     driver.events.after(
         driver.latencyMilliseconds(entry, dispatch.upstream()),
         () -> {
-          if (!over && work == current) {
+          if (!done && attempt == current) {
             answering = true;
             dispatch.responseStarted();
             owner.firstToken(this);
@@ -147,15 +147,15 @@
   }
 
   @Override
-  public void whole() {
-    Work current = work;
+  public void completed() {
+    RunnerAttempt current = attempt;
     driver.events.after(
         driver.latencyMilliseconds(entry, dispatch.upstream()),
         () -> {
-          if (!over && work == current) {
-            over = true;
+          if (!done && attempt == current) {
+            done = true;
             dispatch.finished(DispatchOutcome.SUCCEEDED);
-            owner.whole(this);
+            owner.completed(this);
           }
         });
   }
@@ -165,15 +165,15 @@
     driver.events.after(
         driver.latencyMilliseconds(entry, dispatch.upstream()),
         () -> {
-          if (over) {
+          if (done) {
             return;
           }
           if (answering) {
-            over = true;
+            done = true;
             dispatch.finished(DispatchOutcome.FAILED);
             owner.failed(this);
           } else {
-            work = null;
+            attempt = null;
             await(entry.dispatcher.reacquire(dispatch, DispatchOutcome.FAILED));
           }
         });
--- a/measurement/src/main/java/org/agatefield/measure/Fleet.java
+++ b/measurement/src/main/java/org/agatefield/measure/Fleet.java
@@ -29,8 +29,8 @@
 import org.agatefield.placement.RunnerLedger;
 
 /**
- * The runners, their ledgers, and what entry instances know of them. Confined to the driver's
- * thread.
+ * The runners, their ledgers, and the replicas and load reports published to entry instances.
+ * Confined to the driver's thread.
  */
 final class Fleet implements ConfigurationSource, ReplicaDirectory {
   static final String VERSION = "1";
@@ -42,7 +42,7 @@
   final Map<String, RunnerLedger> ledgers = new HashMap<>();
   private final ConfigurationDocument document;
   private final Map<String, LoadReport> reports = new HashMap<>();
-  private final Map<String, Boolean> believedAlive = new HashMap<>();
+  private final Map<String, Boolean> detectedAlive = new HashMap<>();
   private List<Replica> replicas = List.of();
 
   Fleet(UserProfile profile, ServiceTimes times) {
@@ -52,7 +52,7 @@
       upstreams.add(upstream);
       runners.put(upstream.name(), new Runner(upstream.name(), times));
       ledgers.put(upstream.name(), RunnerLedger.empty(upstream.name(), RUNNER_MEGABYTES));
-      believedAlive.put(upstream.name(), true);
+      detectedAlive.put(upstream.name(), true);
     }
     document = document(profile, upstreams);
   }
@@ -105,11 +105,11 @@
         1, deployments, adapters, callers, List.of(), upstreams, profile.weightStore());
   }
 
-  /** Lets entry instances see what the ledgers say now. */
+  /** Publishes the replicas in the ledgers to the entry instances. */
   void publishReplicas() {
     List<Replica> published = new ArrayList<>();
     for (RunnerLedger ledger : ledgers.values()) {
-      if (!believedAlive.get(ledger.upstream())) {
+      if (!detectedAlive.get(ledger.upstream())) {
         continue;
       }
       for (LedgerEntry entry : ledger.entries()) {
@@ -128,10 +128,10 @@
     return new Replica(entry.version(), upstream, draining, adapters);
   }
 
-  /** Takes a load report of every runner that answers. */
-  void takeReports() {
+  /** Collects a load report from every reachable runner. */
+  void collectReports() {
     for (Runner runner : runners.values()) {
-      if (runner.isAlive() && !runner.isSilent()) {
+      if (runner.isAlive() && !runner.isUnreachable()) {
         reports.put(runner.name, report(runner));
       }
     }
@@ -149,13 +149,13 @@
         0);
   }
 
-  void believe(String runner, boolean alive) {
-    believedAlive.put(runner, alive);
+  void setDetectedAlive(String runner, boolean alive) {
+    detectedAlive.put(runner, alive);
     publishReplicas();
   }
 
-  boolean isBelievedAlive(String runner) {
-    return believedAlive.get(runner);
+  boolean isDetectedAlive(String runner) {
+    return detectedAlive.get(runner);
   }
 
   @Override
--- a/measurement/src/main/java/org/agatefield/measure/MeasureMain.java
+++ b/measurement/src/main/java/org/agatefield/measure/MeasureMain.java
@@ -12,30 +12,30 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Measures each decision against its baselines on the same demand. Used by one thread. */
-@Command(name = "measure", description = "Measures each decision against its baselines.")
+/** Compares each decision with its baselines under the same demand. Used by one thread. */
+@Command(name = "measure", description = "Compares each decision with its baselines.")
 public final class MeasureMain {
   private static final int EXIT_USAGE = 2;
 
-  @Option(name = "--user", description = "whose sizes: cooperative or consortium")
+  @Option(name = "--user", description = "user profile: cooperative or consortium")
   private String user = "cooperative";
 
   @Option(name = "--seed", description = "the first seed")
   private long seed = 1;
 
-  @Option(name = "--seeds", description = "how many seeds, one after another from the first")
+  @Option(name = "--seeds", description = "number of consecutive seeds")
   private int seeds = 5;
 
-  @Option(name = "--scenario", description = "only this scenario")
+  @Option(name = "--scenario", description = "run only this scenario")
   private String scenario = "";
 
-  @Option(name = "--decision", description = "only this decision and ours")
+  @Option(name = "--decision", description = "compare only with the baselines of this decision")
   private String decision = "";
 
-  @Option(name = "--threads", description = "runs at once; does not change the figures")
+  @Option(name = "--threads", description = "concurrent runs; does not affect the results")
   private int threads = 2;
 
-  @Option(name = "--routing-speed", description = "only time routing decisions")
+  @Option(name = "--routing-speed", description = "only measure the latency of routing decisions")
   private boolean routingSpeed = false;
 
   /** Runs the command. */
@@ -77,7 +77,7 @@
   private List<Variant> variants() {
     List<Variant> variants = new ArrayList<>();
     variants.add(Variant.oracle());
-    variants.add(Variant.ours());
+    variants.add(Variant.production());
     Variant.baselines().stream()
         .filter(each -> decision.isEmpty() || each.decision().equals(decision))
         .forEach(variants::add);
--- a/measurement/src/main/java/org/agatefield/measure/Measurement.java
+++ b/measurement/src/main/java/org/agatefield/measure/Measurement.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What is counted during a run. Confined to the driver's thread. */
+/** Counters of a run. Confined to the driver's thread. */
 final class Measurement {
   int requests;
   int attained;
@@ -16,7 +16,7 @@
   private boolean counting;
   private final Map<String, int[]> byModel = new TreeMap<>();
 
-  /** Forgets what was counted so far, when the warm-up is over. */
+  /** Resets the counters at the end of the warm-up. */
   void begin(double busyNanosecondsSoFar) {
     counting = true;
     moves = 0;
@@ -46,7 +46,7 @@
     return (double) attained / requests;
   }
 
-  /** Returns the attainment of the model that has the lowest. */
+  /** Returns the lowest attainment of any model. */
   double worstModel() {
     return byModel.values().stream()
         .mapToDouble(counts -> (double) counts[1] / counts[0])
--- a/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
+++ b/measurement/src/main/java/org/agatefield/measure/PlannerDriver.java
@@ -26,12 +26,12 @@
 import org.agatefield.placement.RunnerView;
 import org.agatefield.placement.StaticPlacement;
 
-/** Plans once a period and carries the moves out at the weight store's speed. */
+/** Plans the placement periodically and executes the moves at the speed of the weight store. */
 final class PlannerDriver {
   private static final long DRAIN_MINIMUM_NANOSECONDS = TimeUnit.SECONDS.toNanos(2);
   private static final long DRAIN_MAXIMUM_NANOSECONDS = TimeUnit.SECONDS.toNanos(30);
   private static final double UNLOAD_MILLISECONDS = 100;
-  private static final int SETTLING_ROUNDS = 500;
+  private static final int MAXIMUM_INITIAL_ROUNDS = 500;
 
   private final Fleet fleet;
   private final EventQueue events;
@@ -64,10 +64,10 @@
         policy, new DrainPolicy(DRAIN_MINIMUM_NANOSECONDS, DRAIN_MAXIMUM_NANOSECONDS));
   }
 
-  /** Loads every version once before the run, at no cost. */
-  void settle() {
+  /** Places every version before the run without counting moves or load time. */
+  void applyInitialPlacement() {
     PlacementPlanner initial = planner(new StaticPlacement());
-    for (int round = 0; round < SETTLING_ROUNDS; round++) {
+    for (int round = 0; round < MAXIMUM_INITIAL_ROUNDS; round++) {
       List<PlannedMove> moves = initial.plan(input(List.of(), Integer.MAX_VALUE));
       if (moves.isEmpty()) {
         fleet.publishReplicas();
@@ -82,7 +82,7 @@
         }
       }
     }
-    throw new IllegalStateException("the initial placement does not settle");
+    throw new IllegalStateException("the initial placement does not converge");
   }
 
   void plan() {
@@ -91,9 +91,9 @@
     }
     budget = budget.refill(fleet.current().weightStore(), events.now());
     fleet.ledgers.values().forEach(ledger -> ages.observe(ledger, events.now()));
-    reloadLost();
+    reloadLostVersions();
     for (PlannedMove move : planner.plan(input(demand.get(), budget.available()))) {
-      carryOut(move);
+      execute(move);
     }
     fleet.publishReplicas();
   }
@@ -103,13 +103,13 @@
     for (Upstream upstream : fleet.current().upstreams()) {
       Runner runner = fleet.runners.get(upstream.name());
       RunnerLedger ledger = fleet.ledgers.get(upstream.name());
-      boolean available = fleet.isBelievedAlive(upstream.name());
+      boolean available = fleet.isDetectedAlive(upstream.name());
       views.add(new RunnerView(upstream, ledger, Optional.of(fleet.report(runner)), available));
     }
     return new PlacementInput(fleet.current(), views, samples, ages, allowance, events.now());
   }
 
-  private void carryOut(PlannedMove move) {
+  private void execute(PlannedMove move) {
     change(move);
     if (move.kind() == MoveKind.LOAD) {
       budget = budget.take();
@@ -125,7 +125,7 @@
     update(move.upstream(), ledger -> move.applyTo(ledger, size));
   }
 
-  /** Loads beyond the slots at full speed slow one another down. */
+  /** Starts a load; it slows down in proportion to the loads above the full-speed limit. */
   private void startLoad(String upstream, VersionId version) {
     loading++;
     double slots = fleet.current().weightStore().concurrentLoads();
@@ -158,11 +158,11 @@
     fleet.publishReplicas();
   }
 
-  /** What a runner lost by a new start is ordered again, within the store's rate. */
-  private void reloadLost() {
+  /** Reloads the versions that runners lost in a restart, at the speed of the weight store. */
+  private void reloadLostVersions() {
     for (Map.Entry<String, RunnerLedger> each : List.copyOf(fleet.ledgers.entrySet())) {
       Runner runner = fleet.runners.get(each.getKey());
-      boolean answers = fleet.isBelievedAlive(runner.name);
+      boolean answers = fleet.isDetectedAlive(runner.name);
       if (!answers || each.getValue().bootIdentifier().equals(runner.bootIdentifier())) {
         continue;
       }
--- a/measurement/src/main/java/org/agatefield/measure/RetryHandling.java
+++ b/measurement/src/main/java/org/agatefield/measure/RetryHandling.java
@@ -1,11 +1,11 @@
 package org.agatefield.measure;
 
-/** What an entry instance does with a caller's retry. */
+/** How an entry instance handles a caller's retry. */
 enum RetryHandling {
-  /** Runs it like any other request. */
+  /** Runs the retry like a new request. */
   NAIVE,
-  /** Runs it if a retry budget allows it, else refuses it. */
+  /** Runs the retry if the retry budget allows it, and refuses it otherwise. */
   BUDGETED,
-  /** Joins it to the request in flight, if there is one. */
+  /** Joins the retry to the request in flight, if any. */
   JOINED
 }
--- a/measurement/src/main/java/org/agatefield/measure/RoutingBenchmark.java
+++ b/measurement/src/main/java/org/agatefield/measure/RoutingBenchmark.java
@@ -31,9 +31,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Times decisions of one dispatcher at the size of the letter: a warmed-up loop with a histogram,
- * not JMH. Each includes admission, the choice, the log call (switched off) and giving the place
- * back. Used by one thread.
+ * Measures the latency of routing decisions of one dispatcher with 2,000 runners and 280 models,
+ * the size that the users specified. A loop with warm-up and a histogram, not JMH. Each measurement
+ * includes admission, the choice, the log call (disabled) and the release of the slot. Used by one
+ * thread.
  */
 final class RoutingBenchmark implements ConfigurationSource, ReplicaDirectory {
   private static final int RUNNERS = 2_000;
--- a/measurement/src/main/java/org/agatefield/measure/Runner.java
+++ b/measurement/src/main/java/org/agatefield/measure/Runner.java
@@ -9,30 +9,30 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** A runner, stepped by the service-time model. Confined to the driver's thread. */
+/** Simulates a runner by the service-time model. Confined to the driver's thread. */
 final class Runner {
   final String name;
   final Set<String> loadedAdapters = new HashSet<>();
   private final ServiceTimes times;
-  private final List<Work> batch = new ArrayList<>();
-  private final Deque<Work> waiting = new ArrayDeque<>();
+  private final List<RunnerAttempt> batch = new ArrayList<>();
+  private final Deque<RunnerAttempt> waiting = new ArrayDeque<>();
   private final LinkedHashMap<Long, Boolean> cache = new LinkedHashMap<>(16, 0.75f, true);
   private double busyNanoseconds;
   private int boot;
   private boolean alive = true;
-  private boolean silent;
+  private boolean unreachable;
 
   Runner(String name, ServiceTimes times) {
     this.name = name;
     this.times = times;
   }
 
-  void accept(Work work) {
-    waiting.add(work);
+  void accept(RunnerAttempt attempt) {
+    waiting.add(attempt);
   }
 
-  void cancel(Work work) {
-    work.over = true;
+  void cancel(RunnerAttempt attempt) {
+    attempt.done = true;
   }
 
   int running() {
@@ -55,103 +55,104 @@
     return alive;
   }
 
-  boolean isSilent() {
-    return silent;
+  boolean isUnreachable() {
+    return unreachable;
   }
 
-  /** Ends the process; its requests fail at once. */
-  void die() {
+  /** Simulates a crash of the process; its requests fail at once. */
+  void crash() {
     alive = false;
-    List<Work> lost = new ArrayList<>(batch);
+    List<RunnerAttempt> lost = new ArrayList<>(batch);
     lost.addAll(waiting);
     batch.clear();
     waiting.clear();
-    forget();
-    lost.stream().filter(work -> !work.over).forEach(work -> work.listener.failed());
+    clearState();
+    lost.stream().filter(attempt -> !attempt.done).forEach(attempt -> attempt.listener.failed());
   }
 
-  /** Cuts the runner off: nothing fails, nothing is answered. */
-  void fallSilent() {
-    silent = true;
+  /** Makes the runner unreachable: requests neither fail nor complete. */
+  void disconnect() {
+    unreachable = true;
   }
 
-  /** Brings the runner back, empty. */
-  void comeBack() {
+  /** Restarts the runner with nothing loaded and makes it reachable again. */
+  void restart() {
     batch.clear();
     waiting.clear();
-    forget();
+    clearState();
     alive = true;
-    silent = false;
+    unreachable = false;
   }
 
-  private void forget() {
+  private void clearState() {
     boot++;
     cache.clear();
     loadedAdapters.clear();
   }
 
   void step(long nanoseconds) {
-    if (!alive || silent) {
+    if (!alive || unreachable) {
       return;
     }
-    batch.removeIf(work -> work.over);
+    batch.removeIf(attempt -> attempt.done);
     fillBatch();
     if (batch.isEmpty()) {
       return;
     }
     busyNanoseconds += nanoseconds;
-    batch.forEach(work -> work.busyNanoseconds += (double) nanoseconds / batch.size());
-    List<Work> current = List.copyOf(batch);
-    long generating = current.stream().filter(work -> work.promptTokensLeft <= 0).count();
+    batch.forEach(attempt -> attempt.busyNanoseconds += (double) nanoseconds / batch.size());
+    List<RunnerAttempt> current = List.copyOf(batch);
+    long generating =
+        current.stream().filter(attempt -> attempt.remainingPromptTokens <= 0).count();
     double prefillShare = prefill(current, nanoseconds);
     double tokens =
         nanoseconds * (1 - prefillShare) / times.tokenNanoseconds((int) Math.max(1, generating));
-    for (Work work : current) {
-      generate(work, tokens);
+    for (RunnerAttempt attempt : current) {
+      generate(attempt, tokens);
     }
   }
 
   private void fillBatch() {
     while (batch.size() < times.maximumBatch() && !waiting.isEmpty()) {
-      Work work = waiting.poll();
-      if (!work.over) {
-        work.started = true;
-        work.promptTokensLeft *= 1 - cachedShare(work);
-        batch.add(work);
+      RunnerAttempt attempt = waiting.poll();
+      if (!attempt.done) {
+        attempt.started = true;
+        attempt.remainingPromptTokens *= 1 - cachedShare(attempt);
+        batch.add(attempt);
       }
     }
   }
 
-  private double cachedShare(Work work) {
-    for (int position = work.prefixHashes.size() - 1; position >= 0; position--) {
-      if (cache.get(work.prefixHashes.get(position)) != null) {
-        return (position + 1.0) / work.prefixHashes.size();
+  private double cachedShare(RunnerAttempt attempt) {
+    for (int position = attempt.prefixHashes.size() - 1; position >= 0; position--) {
+      if (cache.get(attempt.prefixHashes.get(position)) != null) {
+        return (position + 1.0) / attempt.prefixHashes.size();
       }
     }
     return 0;
   }
 
-  private double prefill(List<Work> current, long nanoseconds) {
+  private double prefill(List<RunnerAttempt> current, long nanoseconds) {
     double perNanosecond = times.prefillTokensPerSecond() / TimeUnit.SECONDS.toNanos(1);
     double budget = perNanosecond * nanoseconds * ServiceTimes.PREFILL_SHARE;
     double left = budget;
-    for (Work work : current) {
-      if (work.promptTokensLeft <= 0 || left <= 0) {
+    for (RunnerAttempt attempt : current) {
+      if (attempt.remainingPromptTokens <= 0 || left <= 0) {
         continue;
       }
-      double read = Math.min(left, work.promptTokensLeft);
+      double read = Math.min(left, attempt.remainingPromptTokens);
       left -= read;
-      work.promptTokensLeft -= read;
-      if (work.promptTokensLeft <= 0) {
-        remember(work);
-        work.listener.firstToken();
+      attempt.remainingPromptTokens -= read;
+      if (attempt.remainingPromptTokens <= 0) {
+        cachePrefixes(attempt);
+        attempt.listener.firstToken();
       }
     }
     return ServiceTimes.PREFILL_SHARE * (budget - left) / budget;
   }
 
-  private void remember(Work work) {
-    work.prefixHashes.forEach(hash -> cache.put(hash, true));
+  private void cachePrefixes(RunnerAttempt attempt) {
+    attempt.prefixHashes.forEach(hash -> cache.put(hash, true));
     var eldest = cache.entrySet().iterator();
     while (cache.size() > times.cachedPrefixes()) {
       eldest.next();
@@ -159,15 +160,15 @@
     }
   }
 
-  private void generate(Work work, double tokens) {
-    if (work.promptTokensLeft > 0 || work.over) {
+  private void generate(RunnerAttempt attempt, double tokens) {
+    if (attempt.remainingPromptTokens > 0 || attempt.done) {
       return;
     }
-    work.tokensDone += tokens;
-    if (work.tokensDone >= work.outputTokens) {
-      work.over = true;
-      batch.remove(work);
-      work.listener.whole();
+    attempt.generatedTokens += tokens;
+    if (attempt.generatedTokens >= attempt.outputTokens) {
+      attempt.done = true;
+      batch.remove(attempt);
+      attempt.listener.completed();
     }
   }
 }
--- a/measurement/src/main/java/org/agatefield/measure/ServiceTimes.java
+++ b/measurement/src/main/java/org/agatefield/measure/ServiceTimes.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The service-time model of a runner: an engine that batches continuously. Immutable.
+ * The service-time model of a runner with continuous batching. Immutable.
  *
- * <p>One token of every running request takes {@code tokenBaseMilliseconds} and {@code
- * tokenSlopeMilliseconds} more for each request that generates. Prompts are read at {@code
- * prefillTokensPerSecond}, in up to half of the time, and hold up generation meanwhile. A prefix
- * that is cached is not read again.
+ * <p>A decoding step, which generates one token for every running request, takes {@code
+ * tokenBaseMilliseconds} plus {@code tokenSlopeMilliseconds} per generating request. Prefill runs
+ * at {@code prefillTokensPerSecond}, uses up to half of the time and blocks generation meanwhile.
+ * Cached prefixes need no prefill.
  *
- * @param maximumBatch requests that run at once; more wait inside the engine
- * @param cachedPrefixes prefixes of 256 bytes that a runner caches, the latest used ones
+ * @param maximumBatch maximum number of running requests; further ones are queued in the engine
+ * @param cachedPrefixes capacity of a runner's LRU prefix cache, in prefixes of 256 bytes
  * @param adapterLoadMilliseconds time to load an adapter
  * @param weightLoadSeconds time to load a version at the weight store's full speed
  */
@@ -31,13 +31,13 @@
     return new ServiceTimes(20, 1, 10_000, 32, 512, 10, 4);
   }
 
-  /** Returns the time of one token when {@code running} requests generate, in nanoseconds. */
+  /** Returns the time per token while {@code running} requests generate, in nanoseconds. */
   double tokenNanoseconds(int running) {
     return (tokenBaseMilliseconds + tokenSlopeMilliseconds * running)
         * TimeUnit.MILLISECONDS.toNanos(1);
   }
 
-  /** Returns the requests a second that a runner answers with a full batch. */
+  /** Returns the throughput of a runner with a full batch, in requests per second. */
   double requestsPerSecondPerRunner() {
     double decode = MEAN_OUTPUT_TOKENS * tokenNanoseconds(maximumBatch) / maximumBatch;
     double prefill =
--- a/measurement/src/main/java/org/agatefield/measure/Summary.java
+++ b/measurement/src/main/java/org/agatefield/measure/Summary.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** The measurements of one set of policies over several seeds. Confined to one thread. */
+/** Summarizes the measurements of one variant over several seeds. Confined to one thread. */
 final class Summary {
   private static final String FORMAT =
       "%-14s %-10s %-18s %-17s %-7s %-17s %-7s %-9s %-5s %-6s %s%n";
--- a/measurement/src/main/java/org/agatefield/measure/UserProfile.java
+++ b/measurement/src/main/java/org/agatefield/measure/UserProfile.java
@@ -6,14 +6,14 @@
 import org.agatefield.model.WeightStoreLimits;
 
 /**
- * The sizes of one user. Immutable.
+ * The fleet size and network latencies of one user. Immutable.
  *
  * @param name the user's name
  * @param runnerDomains the failure domain of each model runner
  * @param entryDomains the failure domain of each entry instance
  * @param models number of deployments
- * @param adapters number of adapters, spread over the deployments
- * @param weightStore what the weight store allows
+ * @param adapters number of adapters, distributed over the deployments
+ * @param weightStore limits of the weight store
  * @param domainLatencyMilliseconds one-way latency between failure domains of a region
  * @param regionLatencyMilliseconds one-way latency between regions
  * @param callerLatencyMilliseconds one-way latency between callers and entry instances
@@ -30,13 +30,14 @@
     double callerLatencyMilliseconds) {
   private static final int ENTRY_INSTANCES = 8;
 
-  /** Returns the sizes of a user by name. */
+  /** Returns the profile of a user by name. */
   static UserProfile named(String name) {
     return switch (name) {
       case "cooperative" -> cooperative();
       case "consortium" -> consortium();
       default ->
-          throw new IllegalArgumentException("user: '" + name + "' is not cooperative, consortium");
+          throw new IllegalArgumentException(
+              "user: '" + name + "' is not one of: cooperative, consortium");
     };
   }
 
--- a/measurement/src/main/java/org/agatefield/measure/Variant.java
+++ b/measurement/src/main/java/org/agatefield/measure/Variant.java
@@ -21,14 +21,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A set of policies to measure. Immutable.
+ * A combination of policies to measure. Immutable.
  *
- * @param decision the decision that it varies
+ * @param decision the decision whose policy is varied
  * @param name the policy for that decision
  * @param policies creates the policies of one entry instance
  * @param placement creates the placement policy
- * @param retries what is done with callers' retries
- * @param isOracle whether it knows the demand in advance and the load without lag
+ * @param retries handling of callers' retries
+ * @param isOracle whether future demand and current load are known without lag
  */
 record Variant(
     String decision,
@@ -40,7 +40,7 @@
   private static final int BOUNDED_QUEUE = 32;
   private static final GainSettings UNSMOOTHED = new GainSettings(1, 0.005, 3);
 
-  static Variant ours() {
+  static Variant production() {
     return new Variant(
         "all", "ours", DispatchPolicies::standard, Variant::gain, RetryHandling.JOINED, false);
   }
@@ -55,7 +55,7 @@
         true);
   }
 
-  /** Returns the baselines of every decision; all else in each is ours. */
+  /** Returns the baselines of every decision; their other policies are those of production. */
   static List<Variant> baselines() {
     List<Variant> variants = new ArrayList<>();
     variants.add(
--- a/measurement/src/main/java/org/agatefield/measure/slopes/DaemonsCommand.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/DaemonsCommand.java
@@ -20,7 +20,7 @@
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.model.FailureDomain;
 
-/** Real daemons with the stand-ins, without callers. For use by one thread. */
+/** Measures real daemons with stand-ins and without caller load. Used by one thread. */
 @Command(name = "daemons", description = "Real daemons: store calls, processor time, memory")
 public final class DaemonsCommand implements Callable<Integer> {
   private static final int DOMAINS = 11;
@@ -32,22 +32,24 @@
   @Option(name = "--instances", description = "numbers of daemons, separated by commas")
   private String instances = "8,16";
 
-  @Option(name = "--models", description = "models")
+  @Option(name = "--models", description = "number of models")
   private int models = 4;
 
-  @Option(name = "--engines", description = "engine stand-ins")
+  @Option(name = "--engines", description = "number of engine stand-ins")
   private int engines = 2;
 
-  @Option(name = "--seconds", description = "seconds that are measured")
+  @Option(name = "--seconds", description = "duration of the measurement in seconds")
   private int seconds = 30;
 
-  @Option(name = "--change-seconds", description = "one configuration change each; 0 for none")
+  @Option(
+      name = "--change-seconds",
+      description = "seconds between configuration changes; 0 for none")
   private int changeSeconds = 0;
 
-  @Option(name = "--store-pause-seconds", description = "lets the store stand still; 0 for not")
+  @Option(name = "--store-pause-seconds", description = "duration of a store pause; 0 for none")
   private int storePauseSeconds = 0;
 
-  @Option(name = "--bookings", description = "calls that must not repeat, one after the other")
+  @Option(name = "--bookings", description = "number of sequential non-repeatable calls")
   private int bookings = 0;
 
   @Override
@@ -91,7 +93,7 @@
     }
   }
 
-  /** Prints the store's calls of claims for each call that must not repeat. */
+  /** Prints the number of claim calls to the store per non-repeatable call. */
   private void reportBookings(LocalFleet fleet) {
     final JsonNode before = counts(fleet);
     int succeeded = 0;
@@ -121,15 +123,15 @@
     }
   }
 
-  private long countThenStandStill(LocalFleet fleet) throws InterruptedException {
+  private long countThenPauseStore(LocalFleet fleet) throws InterruptedException {
     final long total = counts(fleet).path("total").asLong();
-    letStoreStandStill(fleet);
+    pauseStore(fleet);
     return total;
   }
 
-  /** Prints the store's calls in each second after it stood still. */
+  /** Prints the number of store calls in each second after a pause of the store. */
   private void reportRecovery(LocalFleet fleet) throws InterruptedException {
-    long before = countThenStandStill(fleet);
+    long before = countThenPauseStore(fleet);
     for (int second = 1; second <= RECOVERY_SECONDS; second++) {
       Thread.sleep(1_000);
       long total = counts(fleet).path("total").asLong();
@@ -138,7 +140,7 @@
     }
   }
 
-  private void letStoreStandStill(LocalFleet fleet) throws InterruptedException {
+  private void pauseStore(LocalFleet fleet) throws InterruptedException {
     fleet.process("store").pause();
     Thread.sleep(storePauseSeconds * 1_000L);
     fleet.process("store").resume();
@@ -198,7 +200,7 @@
     try {
       return MAPPER.readTree(text);
     } catch (IOException exception) {
-      throw new IllegalStateException("not JSON: " + text, exception);
+      throw new IllegalStateException("invalid JSON: " + text, exception);
     }
   }
 
--- a/measurement/src/main/java/org/agatefield/measure/slopes/DocumentsCommand.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/DocumentsCommand.java
@@ -14,8 +14,10 @@
 import org.agatefield.model.ConfigurationDocument;
 import org.agatefield.peer.generated.PeerProtocol;
 
-/** Sizes of configuration documents and demand reports. For use by one thread. */
-@Command(name = "documents", description = "Sizes of documents and demand reports, time to read")
+/** Measures the size of configuration documents and demand reports. Used by one thread. */
+@Command(
+    name = "documents",
+    description = "Documents and demand reports: size, time to write and read")
 public final class DocumentsCommand implements Callable<Integer> {
   private static final int ROUNDS = 200;
   private static final ObjectMapper MAPPER =
@@ -72,7 +74,7 @@
     }
   }
 
-  /** Returns a report of one region with demand for each model. */
+  /** Returns a demand report of one region for all models. */
   private static PeerProtocol.DemandReport demandReport(int models) {
     PeerProtocol.DemandReport.Builder report =
         PeerProtocol.DemandReport.newBuilder().setInstance("entry-1-00000000").setInstances(100);
--- a/measurement/src/main/java/org/agatefield/measure/slopes/MembersCommand.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/MembersCommand.java
@@ -4,7 +4,7 @@
 import com.github.rvesse.airline.annotations.Option;
 import java.util.concurrent.Callable;
 
-/** Members of one group in one process over an in-memory network. For use by one thread. */
+/** Measures membership of one group over a simulated network. Used by one thread. */
 @Command(name = "members", description = "Membership in memory: messages and processor time")
 public final class MembersCommand implements Callable<Integer> {
   private static final int REGIONS = 3;
@@ -12,19 +12,23 @@
   @Option(name = "--members", description = "numbers of members, separated by commas")
   private String members = "8,32,64,128,256,370";
 
-  @Option(name = "--seconds", description = "simulated seconds that are measured")
+  @Option(name = "--seconds", description = "duration of the measurement in simulated seconds")
   private int seconds = 120;
 
   @Option(name = "--settle-seconds", description = "simulated seconds before the measurement")
   private int settleSeconds = 180;
 
-  @Option(name = "--seed", description = "seed of all random choices")
+  @Option(name = "--seed", description = "seed of the random number generators")
   private long seed = 1;
 
-  @Option(name = "--change-seconds", description = "one configuration change each; 0 for none")
+  @Option(
+      name = "--change-seconds",
+      description = "seconds between configuration changes; 0 for none")
   private int changeSeconds = 0;
 
-  @Option(name = "--failure-seconds", description = "one crash and one start each; 0 for none")
+  @Option(
+      name = "--failure-seconds",
+      description = "seconds between member replacements; 0 for none")
   private int failureSeconds = 0;
 
   @Override
@@ -46,7 +50,7 @@
     MemoryGroup.Totals before = group.totals();
     long processorBefore = ProcessorTime.ofThisThread();
     for (int second = 1; second <= seconds; second++) {
-      disturb(group, second);
+      injectChanges(group, second);
       group.run(1_000);
     }
     final double processor = ProcessorTime.ofThisThread() - processorBefore;
@@ -70,7 +74,7 @@
         after.deaths() - before.deaths());
   }
 
-  private void disturb(MemoryGroup group, int second) {
+  private void injectChanges(MemoryGroup group, int second) {
     if (changeSeconds > 0 && second % changeSeconds == 0) {
       group.changeConfiguration();
     }
--- a/measurement/src/main/java/org/agatefield/measure/slopes/MemoryGroup.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/MemoryGroup.java
@@ -19,8 +19,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Members on an in-memory network with the latencies of the brief; counts what they send. Not safe
- * for use by several threads.
+ * Simulates group members on an in-memory network with the latencies of the specification and
+ * counts their messages. Not thread-safe.
  */
 final class MemoryGroup {
   private static final long LOCAL_MILLISECONDS = 1;
@@ -51,14 +51,14 @@
   private record Event(long time, long order, Member member, MembershipEvent event) {}
 
   /**
-   * Counts over all members. Immutable.
+   * Counters over all members. Immutable.
    *
-   * @param sent messages
-   * @param remote messages to other regions
-   * @param updates statements about members in the messages
-   * @param deaths deaths that members saw
-   * @param sentBy messages of each running member
-   * @param receivedBy messages to each running member
+   * @param sent messages sent
+   * @param remote messages sent to other regions
+   * @param updates member updates in the messages
+   * @param deaths failure detections, summed over all members
+   * @param sentBy messages sent by each running member
+   * @param receivedBy messages received by each running member
    */
   record Totals(
       long sent,
@@ -123,14 +123,14 @@
     return seeds;
   }
 
-  /** Lets one member crash and starts another. */
+  /** Crashes one member and starts another. */
   void replaceOne() {
     Member crashed = running.remove(random.nextInt(running.size()));
     crashed.crashed = true;
     startOne();
   }
 
-  /** Gives a random member a higher generation. */
+  /** Raises the generation of a random member. */
   void changeConfiguration() {
     worstRequests = Math.max(worstRequests, mostRequests());
     running.forEach(member -> member.requestsServed = 0);
@@ -151,7 +151,7 @@
     return worstSpread;
   }
 
-  /** Runs until every member knows all others and returns the time that it took. */
+  /** Runs until every member lists all others and returns the elapsed milliseconds. */
   long runUntilConverged() {
     long start = now;
     while (running.stream()
@@ -192,14 +192,14 @@
       transmit(member, send);
     } else if (action instanceof MembershipAction.MemberChanged changed) {
       deaths += changed.update().liveness() == Liveness.DEAD ? 1 : 0;
-    } else if (action instanceof MembershipAction.GenerationObserved heard
-        && heard.generation() > member.generation) {
-      member.generation = heard.generation();
-      byAddress.get(heard.holder().peerAddress()).requestsServed++;
+    } else if (action instanceof MembershipAction.GenerationObserved observed
+        && observed.generation() > member.generation) {
+      member.generation = observed.generation();
+      byAddress.get(observed.holder().peerAddress()).requestsServed++;
       schedule(
           now + FETCH_MILLISECONDS,
           member,
-          new MembershipEvent.GenerationRaised(heard.generation()));
+          new MembershipEvent.GenerationRaised(observed.generation()));
     }
   }
 
--- a/measurement/src/main/java/org/agatefield/measure/slopes/ProcessorTime.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/ProcessorTime.java
@@ -3,7 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
 
-/** Reads processor time and memory of this process. Stateless. */
+/** Reads the processor time and heap use of this process. Stateless. */
 final class ProcessorTime {
   private ProcessorTime() {}
 
@@ -17,7 +17,7 @@
     return ProcessHandle.current().info().totalCpuDuration().orElseThrow().toNanos();
   }
 
-  /** Returns the heap in use after a collection, in bytes. */
+  /** Returns the heap use after a garbage collection, in bytes. */
   static long heapBytes() {
     MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
     memory.gc();
--- a/measurement/src/main/java/org/agatefield/measure/slopes/SlopesMain.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/SlopesMain.java
@@ -7,7 +7,7 @@
 /** The entry point of the slope measurements. */
 @Cli(
     name = "measure-slopes",
-    description = "Measures how the cost of control grows",
+    description = "Measures how control plane cost grows with the fleet",
     commands = {
       MembersCommand.class,
       SocketsCommand.class,
@@ -20,7 +20,7 @@
 
   private SlopesMain() {}
 
-  /** Runs one measurement; ends with 0 if it succeeded. */
+  /** Runs one measurement; exits with 0 on success. */
   public static void main(String[] arguments) {
     System.exit(run(arguments));
   }
@@ -33,7 +33,7 @@
       System.err.println(exception.getMessage());
       return USAGE;
     } catch (Exception exception) {
-      System.err.println("unexpected fault: " + exception);
+      System.err.println("unexpected error: " + exception);
       exception.printStackTrace();
       return FAILURE;
     }
--- a/measurement/src/main/java/org/agatefield/measure/slopes/SocketNode.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/SocketNode.java
@@ -18,11 +18,11 @@
 import org.agatefield.store.InstanceList;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** One daemon's peer duty with a configuration and a demand of its own. Safe for any thread. */
+/** Runs the peer coordinator of one daemon with its own configuration and demand. Thread-safe. */
 final class SocketNode implements ConfigurationSource, ConfigurationSink, AutoCloseable {
   private final List<Consumer<ConfigurationDocument>> listeners = new CopyOnWriteArrayList<>();
   private final MetricRegistry metrics = new MetricRegistry();
-  private final PeerCoordinator duty;
+  private final PeerCoordinator coordinator;
   private ConfigurationDocument document = ConfigurationDocument.empty();
   private volatile long adoptedNanoseconds;
 
@@ -38,22 +38,22 @@
     for (int model = 0; model < models; model++) {
       demand.add(new DemandSample("model-" + model, domain.region(), 1, 0, 0.1));
     }
-    duty =
+    coordinator =
         new PeerCoordinator(
             self,
             seeds,
             Optional.empty(),
-            new EmptyList(),
+            new EmptyInstanceList(),
             this,
             this,
             () -> demand,
             metrics,
             RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
-    duty.join();
+    coordinator.join();
   }
 
-  PeerCoordinator duty() {
-    return duty;
+  PeerCoordinator coordinator() {
+    return coordinator;
   }
 
   long metric(String name) {
@@ -86,11 +86,11 @@
 
   @Override
   public void close() {
-    duty.close();
+    coordinator.close();
   }
 
-  /** A platform that lists nobody. */
-  private static final class EmptyList implements InstanceList {
+  /** An instance list without instances. */
+  private static final class EmptyInstanceList implements InstanceList {
     @Override
     public Snapshot current() {
       return Snapshot.EMPTY;
--- a/measurement/src/main/java/org/agatefield/measure/slopes/SocketsCommand.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/SocketsCommand.java
@@ -11,8 +11,10 @@
 import org.agatefield.model.Closer;
 import org.agatefield.model.FailureDomain;
 
-/** Many daemons' peer duties in one process over loopback sockets. For use by one thread. */
-@Command(name = "sockets", description = "Peer duties over loopback: bytes, processor time, memory")
+/** Measures many peer coordinators in one process over loopback sockets. Used by one thread. */
+@Command(
+    name = "sockets",
+    description = "Peer protocol over loopback: bytes, processor time, memory")
 public final class SocketsCommand implements Callable<Integer> {
   private static final int REGIONS = 3;
   private static final int DOMAINS = 11;
@@ -22,22 +24,24 @@
   @Option(name = "--instances", description = "numbers of instances, separated by commas")
   private String instances = "8,32,64,128";
 
-  @Option(name = "--seconds", description = "seconds that are measured")
+  @Option(name = "--seconds", description = "duration of the measurement in seconds")
   private int seconds = 30;
 
-  @Option(name = "--models", description = "models of each document and of the fleet's demand")
+  @Option(name = "--models", description = "models in each document and in the fleet's demand")
   private int models = 280;
 
   @Option(name = "--runners", description = "runners in each document")
   private int runners = 2_000;
 
-  @Option(name = "--reported-models", description = "models that each instance has demand for")
+  @Option(name = "--reported-models", description = "models with demand per instance")
   private int reportedModels = 10;
 
-  @Option(name = "--change-seconds", description = "one configuration change each; 0 for none")
+  @Option(
+      name = "--change-seconds",
+      description = "seconds between configuration changes; 0 for none")
   private int changeSeconds = 0;
 
-  @Option(name = "--seed", description = "seed of all random choices")
+  @Option(name = "--seed", description = "seed of the random number generators")
   private long seed = 1;
 
   private long generation;
@@ -58,7 +62,7 @@
     try (Closer closer = new Closer()) {
       List<SocketNode> nodes = startNodes(count, closer);
       final long start = System.nanoTime();
-      while (nodes.stream().anyMatch(node -> node.duty().alive().size() < count)) {
+      while (nodes.stream().anyMatch(node -> node.coordinator().alive().size() < count)) {
         Thread.sleep(POLL_MILLISECONDS);
       }
       final long joined = (System.nanoTime() - start) / 1_000_000;
@@ -95,7 +99,7 @@
     final long processorBefore = ProcessorTime.ofThisProcess();
     long worstSpread = 0;
     for (int second = 1; second <= seconds; second++) {
-      nodes.get(0).duty().totalDemand();
+      nodes.get(0).coordinator().totalDemand();
       if (changeSeconds > 0 && second % changeSeconds == 0) {
         worstSpread = Math.max(worstSpread, change(nodes));
       }
@@ -124,7 +128,7 @@
         sum(nodes, "messages-dropped"));
   }
 
-  /** Gives one instance a new document and returns how long the last one took to have it. */
+  /** Changes one instance's document and returns the time until all have it, in milliseconds. */
   private long change(List<SocketNode> nodes) throws InterruptedException {
     generation++;
     long start = System.nanoTime();
--- a/measurement/src/main/java/org/agatefield/measure/slopes/SyntheticConfiguration.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/SyntheticConfiguration.java
@@ -18,7 +18,7 @@
 import org.agatefield.model.WeightStoreLimits;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Documents of a given size. Stateless. */
+/** Creates configuration documents of a given size. Stateless. */
 final class SyntheticConfiguration {
   private static final int CALLERS = 40;
   private static final int ADAPTERS_PER_MODEL = 4;
--- a/measurement/src/main/java/org/agatefield/measure/slopes/package-info.java
+++ b/measurement/src/main/java/org/agatefield/measure/slopes/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures how the cost of control grows with the number of instances, runners, models and changes
- * of the configuration; docs/CAPACITY.md is worked out from it.
+ * Measures how the cost of the control plane grows with the number of instances, runners, models
+ * and configuration changes. docs/CAPACITY.md is based on these measurements.
  */
 package org.agatefield.measure.slopes;
--- a/measurement/src/test/java/org/agatefield/measure/DriverTest.java
+++ b/measurement/src/test/java/org/agatefield/measure/DriverTest.java
@@ -8,16 +8,17 @@
 import org.agatefield.model.Priority;
 import org.junit.jupiter.api.Test;
 
+/** Tests that runs are deterministic and that the simulated runner slows down with its batch. */
 class DriverTest {
   private static final long STEP_NANOSECONDS = 5_000_000L;
 
   private static Measurement run(long seed) {
     UserProfile profile = UserProfile.named("consortium");
-    return new Driver(profile, Scenario.STEADY, Variant.ours(), seed).run();
+    return new Driver(profile, Scenario.STEADY, Variant.production(), seed).run();
   }
 
   @Test
-  void sameSeedGivesTheSameFiguresAndNoRefusalIsFalse() {
+  void sameSeedGivesSameResultsWithoutFalseRefusals() {
     Measurement first = run(3);
     Measurement second = run(3);
     assertTrue(first.requests > 0);
@@ -28,7 +29,7 @@
   }
 
   @Test
-  void answersTakeLongerInLargerBatch() {
+  void answersTakeLongerInLargerBatches() {
     Runner runner = new Runner("runner", ServiceTimes.standard());
     assertTrue(answerNanoseconds(runner, 16) > answerNanoseconds(runner, 1));
   }
@@ -36,7 +37,7 @@
   private static long answerNanoseconds(Runner runner, int requests) {
     List<Integer> answered = new ArrayList<>();
     for (int number = 0; number < requests; number++) {
-      runner.accept(work(answered));
+      runner.accept(attempt(answered));
     }
     long elapsed = 0;
     while (answered.size() < requests) {
@@ -46,26 +47,26 @@
     return elapsed;
   }
 
-  private static Work work(List<Integer> answered) {
+  private static RunnerAttempt attempt(List<Integer> answered) {
     Arrival arrival =
         new Arrival(
             0, 0, "north", "model", "model", Priority.STANDARD, 100, 50, 60, List.of(1L, 2L));
-    return new Work(
+    return new RunnerAttempt(
         arrival,
-        new Work.Listener() {
+        new RunnerAttempt.Listener() {
           @Override
           public void firstToken() {
-            // Only whole answers are counted.
+            // Only complete answers are counted.
           }
 
           @Override
-          public void whole() {
+          public void completed() {
             answered.add(1);
           }
 
           @Override
           public void failed() {
-            throw new IllegalStateException("nothing fails here");
+            throw new IllegalStateException("unexpected failure of a runner attempt");
           }
         });
   }
