--- a/fleet/src/main/java/org/agatefield/fleet/AddedLatencyCommand.java
+++ b/fleet/src/main/java/org/agatefield/fleet/AddedLatencyCommand.java
@@ -9,12 +9,12 @@
 import org.agatefield.model.Address;
 
 /**
- * Measures the time that a daemon adds to a request over going straight to the stand-in engine,
- * both in one run, in turns.
+ * Measures the latency that a daemon adds to a request, by alternating load through the daemon with
+ * load sent directly to the stand-in engine in the same run.
  */
 @Command(
     name = "added-latency",
-    description = "Measures what a daemon adds over going straight to the engine")
+    description = "Measures the latency that a daemon adds to requests to an engine")
 public final class AddedLatencyCommand implements Callable<Integer> {
   private static final String MODEL = "summaries";
   private static final String ENGINE_NAME = "summaries@v1";
@@ -22,25 +22,25 @@
   @Option(
       name = {"--rate"},
       title = "N",
-      description = "Requests a second")
+      description = "Requests per second")
   private int rate = 500;
 
   @Option(
       name = {"--seconds"},
       title = "N",
-      description = "Length of each turn")
+      description = "Duration of each measurement in seconds")
   private int seconds = 10;
 
   @Option(
       name = {"--warm-up-seconds"},
       title = "N",
-      description = "Time at the start of each turn that is not reported")
+      description = "Warm-up time before each measurement in seconds; not reported")
   private int warmUpSeconds = 15;
 
   @Option(
       name = {"--turns"},
       title = "N",
-      description = "Turns of each way")
+      description = "Number of measurements of each path")
   private int turns = 3;
 
   @Override
@@ -52,15 +52,15 @@
       Address daemon = fleet.address("entry-1");
       for (int turn = 1; turn <= turns; turn++) {
         System.out.println("turn " + turn + ", straight to the engine");
-        System.out.println(load(engine, ENGINE_NAME));
+        System.out.println(runLoad(engine, ENGINE_NAME));
         System.out.println("turn " + turn + ", through a daemon");
-        System.out.println(load(daemon, MODEL));
+        System.out.println(runLoad(daemon, MODEL));
       }
     }
     return 0;
   }
 
-  private String load(Address address, String model) {
+  private String runLoad(Address address, String model) {
     return new CommandRunner()
         .run(
             "load",
--- a/fleet/src/main/java/org/agatefield/fleet/CommandRunner.java
+++ b/fleet/src/main/java/org/agatefield/fleet/CommandRunner.java
@@ -6,15 +6,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Runs the operators' command as a process and returns what it prints. For use by one thread. */
+/** Runs {@code agatefieldctl} as a separate process and returns its output. Not thread-safe. */
 final class CommandRunner {
-  private static final String MAIN = "org.agatefield.command.AgatefieldctlMain";
+  private static final String MAIN_CLASS = "org.agatefield.command.AgatefieldctlMain";
 
-  /** Returns the command's output, and fails with a {@link FleetException} if it fails. */
+  /**
+   * Returns the combined output of the command.
+   *
+   * @throws FleetException if the command cannot be started or exits with a nonzero code
+   */
   String run(String... arguments) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), MAIN));
+    command.addAll(List.of("-cp", System.getProperty("java.class.path"), MAIN_CLASS));
     command.addAll(List.of(arguments));
     try {
       Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
@@ -23,7 +27,12 @@
       int code = process.waitFor();
       if (code != 0) {
         throw new FleetException(
-            "agatefieldctl " + String.join(" ", arguments) + " ended with " + code + ": " + output);
+            "agatefieldctl "
+                + String.join(" ", arguments)
+                + " exited with code "
+                + code
+                + ": "
+                + output);
       }
       return output;
     } catch (IOException exception) {
--- a/fleet/src/main/java/org/agatefield/fleet/FleetException.java
+++ b/fleet/src/main/java/org/agatefield/fleet/FleetException.java
@@ -1,6 +1,9 @@
 package org.agatefield.fleet;
 
-/** A fleet of processes is not as it should be; the message says what and where. Immutable. */
+/**
+ * Thrown when a process of the fleet or a call to it fails; the message names the failure and the
+ * process. Immutable.
+ */
 public final class FleetException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/fleet/src/main/java/org/agatefield/fleet/FleetHttp.java
+++ b/fleet/src/main/java/org/agatefield/fleet/FleetHttp.java
@@ -21,7 +21,7 @@
 import org.agatefield.model.Address;
 import org.agatefield.model.Closer;
 
-/** HTTP calls of the tools and tests to the fleet's processes. Safe for use by any thread. */
+/** Sends HTTP requests from the tools and tests to the processes of a fleet. Thread-safe. */
 public final class FleetHttp implements AutoCloseable {
   private static final int MAXIMUM_CONNECTIONS = 500;
   private static final int CONNECT_TIMEOUT_MILLISECONDS = 2_000;
@@ -40,11 +40,11 @@
   }
 
   /**
-   * A whole answer. Immutable as long as nobody changes the body.
+   * A complete HTTP response. Immutable unless a caller modifies the body.
    *
    * @param status the HTTP status
-   * @param headers the headers, the last of each name, names in lower case
-   * @param body the whole body
+   * @param headers the headers by lower-case name; the last value of a repeated header
+   * @param body the complete body
    */
   public record Answer(int status, Map<String, String> headers, Buffer body) {
     /** Returns the body as text. */
@@ -53,16 +53,16 @@
     }
   }
 
-  /** Sends a request without a body; the future fails if no whole answer comes. */
+  /** Sends a GET request without a body; the future fails if the response is incomplete. */
   public CompletableFuture<Answer> get(Address address, String path) {
     return send(HttpMethod.GET, address, path, Map.of(), "");
   }
 
   /**
-   * Sends a request; the future fails if no whole answer comes.
+   * Sends a request; the future fails if the response is incomplete.
    *
-   * <p>The body is asked for on the connection's own thread as soon as the head is there: asked for
-   * from another thread it may come too late, and parts of the body are lost.
+   * <p>The body handler is registered on the connection's event loop as soon as the response head
+   * arrives. Registered from another thread, it may miss the first chunks of the body.
    */
   public CompletableFuture<Answer> send(
       HttpMethod method, Address address, String path, Map<String, String> headers, String body) {
@@ -75,12 +75,16 @@
     headers.forEach(options::addHeader);
     return client
         .request(options)
-        .compose(request -> write(request, body).compose(FleetHttp::read))
+        .compose(request -> sendRequest(request, body).compose(FleetHttp::readResponse))
         .toCompletionStage()
         .toCompletableFuture();
   }
 
-  /** Waits for an answer, and fails with a {@link FleetException} if none comes in time. */
+  /**
+   * Waits for a response.
+   *
+   * @throws FleetException if the request fails or the response is incomplete within the limit
+   */
   public static Answer await(CompletableFuture<Answer> answer, Duration limit) {
     try {
       return answer.get(limit.toMillis(), TimeUnit.MILLISECONDS);
@@ -92,11 +96,11 @@
     }
   }
 
-  private static Future<HttpClientResponse> write(HttpClientRequest request, String body) {
+  private static Future<HttpClientResponse> sendRequest(HttpClientRequest request, String body) {
     return body.isEmpty() ? request.send() : request.send(Buffer.buffer(body));
   }
 
-  private static Future<Answer> read(HttpClientResponse response) {
+  private static Future<Answer> readResponse(HttpClientResponse response) {
     Map<String, String> headers = new HashMap<>();
     response.headers().forEach((name, value) -> headers.put(name.toLowerCase(Locale.ROOT), value));
     return response.body().map(body -> new Answer(response.statusCode(), headers, body));
--- a/fleet/src/main/java/org/agatefield/fleet/FleetMain.java
+++ b/fleet/src/main/java/org/agatefield/fleet/FleetMain.java
@@ -5,18 +5,18 @@
 import java.util.concurrent.Callable;
 import org.agatefield.fleet.soak.SoakCommand;
 
-/** The entry point of the fleet tools. */
+/** Main class of the fleet tools: quickstart, latency measurement and soak test. */
 @Cli(
     name = "agatefield-fleet",
-    description = "Starts local fleets to try out and to soak",
+    description = "Starts local fleets for trials and soak tests",
     commands = {QuickstartCommand.class, AddedLatencyCommand.class, SoakCommand.class})
 public final class FleetMain {
-  private static final int USAGE = 2;
-  private static final int FAILURE = 1;
+  private static final int USAGE_EXIT_CODE = 2;
+  private static final int FAILURE_EXIT_CODE = 1;
 
   private FleetMain() {}
 
-  /** Runs a tool; ends with 0 if it succeeded. */
+  /** Runs a tool and exits with 0 if it succeeds. */
   public static void main(String[] arguments) {
     System.exit(run(arguments));
   }
@@ -27,10 +27,10 @@
       return parser.parse(arguments).call();
     } catch (ParseException exception) {
       System.err.println(exception.getMessage());
-      return USAGE;
+      return USAGE_EXIT_CODE;
     } catch (Exception exception) {
-      System.err.println("unexpected fault: " + exception);
-      return FAILURE;
+      System.err.println("unexpected error: " + exception);
+      return FAILURE_EXIT_CODE;
     }
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/FleetPlan.java
+++ b/fleet/src/main/java/org/agatefield/fleet/FleetPlan.java
@@ -4,13 +4,13 @@
 import org.agatefield.model.FailureDomain;
 
 /**
- * Which processes a fleet consists of. Immutable.
+ * Describes the processes of a fleet and the models they serve. Immutable.
  *
- * @param instances daemons
- * @param engines stand-ins of model engines
- * @param services stand-ins of plain services
- * @param models what the engines serve
- * @param weights limits of the weight store
+ * @param instances the daemons
+ * @param engines the stand-ins for model engines
+ * @param services the stand-ins for runners of plain services
+ * @param models the deployments that the engines serve
+ * @param weights the limits of the weight store
  */
 public record FleetPlan(
     List<Entry> instances,
@@ -31,19 +31,19 @@
    * A daemon. Immutable.
    *
    * @param name unique in the fleet
-   * @param failureDomain where it lies
+   * @param failureDomain the failure domain it runs in
    */
   public record Entry(String name, FailureDomain failureDomain) {}
 
   /**
-   * A stand-in of a model engine. Immutable.
+   * A stand-in for a model engine. Immutable.
    *
    * @param name unique in the fleet
-   * @param failureDomain where it lies
-   * @param memoryMegabytes its accelerator memory
-   * @param checksFencingTokens whether it refuses orders with an old fencing token
-   * @param tokenMilliseconds time of one step of its batch
-   * @param batch most requests that it runs at once
+   * @param failureDomain the failure domain it runs in
+   * @param memoryMegabytes its accelerator memory in MB
+   * @param checksFencingTokens whether it rejects orders with an outdated fencing token
+   * @param tokenMilliseconds duration of one step of its batch
+   * @param batch maximum batch size: requests that it runs concurrently
    */
   public record Engine(
       String name,
@@ -53,7 +53,9 @@
       int tokenMilliseconds,
       int batch) {
 
-    /** Creates an engine with the usual speed. */
+    /**
+     * Creates an engine with the default speed: 5 ms for each step, at most 16 requests in a batch.
+     */
     public Engine(
         String name,
         FailureDomain failureDomain,
@@ -64,11 +66,11 @@
   }
 
   /**
-   * A stand-in of a plain service's runner. Immutable.
+   * A stand-in for a runner of a plain service. Immutable.
    *
    * @param name unique in the fleet
    * @param service the service's name
-   * @param failureDomain where it lies
+   * @param failureDomain the failure domain it runs in
    */
   public record Service(String name, String service, FailureDomain failureDomain) {}
 
@@ -76,9 +78,9 @@
    * A deployment with its adapters. Immutable.
    *
    * @param name the deployment's name
-   * @param memoryMegabytes accelerator memory of its one version
-   * @param replicas the least number of replicas
-   * @param adapters names of its adapters
+   * @param memoryMegabytes accelerator memory in MB of its only version
+   * @param replicas the minimum number of replicas
+   * @param adapters the names of its adapters
    */
   public record Model(String name, long memoryMegabytes, int replicas, List<String> adapters) {
     /** Copies the list. */
@@ -90,9 +92,9 @@
   /**
    * Limits of the weight store. Immutable.
    *
-   * @param loadsPerSecond loads that may start each second
-   * @param concurrentLoads loads at once at full speed
-   * @param adapterLoadsInFlight adapter loads at once at full speed
+   * @param loadsPerSecond maximum loads started per second
+   * @param concurrentLoads maximum concurrent loads at full speed
+   * @param adapterLoadsInFlight maximum concurrent adapter loads at full speed
    */
   public record Weights(double loadsPerSecond, int concurrentLoads, int adapterLoadsInFlight) {}
 }
--- a/fleet/src/main/java/org/agatefield/fleet/FleetPlans.java
+++ b/fleet/src/main/java/org/agatefield/fleet/FleetPlans.java
@@ -9,15 +9,17 @@
 import org.agatefield.fleet.FleetPlan.Weights;
 import org.agatefield.model.FailureDomain;
 
-/** The fleets that the tools and tests start. Stateless. */
+/** Provides the fleet plans that the tools and tests start. Stateless. */
 public final class FleetPlans {
   private static final long ENGINE_MEGABYTES = 80_000;
   private static final long MODEL_MEGABYTES = 16_000;
-  private static final int ADAPTERS_IN_ALL = 60;
+  private static final int TOTAL_ADAPTERS = 60;
 
   private FleetPlans() {}
 
-  /** Returns the quickstart's fleet: three daemons, two engines in two domains, one service. */
+  /**
+   * Returns the quickstart fleet: three daemons, two engines in two failure domains, one service.
+   */
   public static FleetPlan quickstart() {
     FailureDomain first = new FailureDomain("kochi", "kochi-a");
     FailureDomain second = new FailureDomain("kochi", "kochi-b");
@@ -34,7 +36,7 @@
         new Weights(1.5, 6, 50));
   }
 
-  /** Returns one daemon before one engine, to measure what the daemon adds. */
+  /** Returns one daemon in front of one engine, to measure the latency that the daemon adds. */
   public static FleetPlan latency() {
     FailureDomain domain = new FailureDomain("kochi", "kochi-a");
     return new FleetPlan(
@@ -45,7 +47,7 @@
         new Weights(1.5, 6, 50));
   }
 
-  /** Returns the cooperative's fleet at the size of the brief. */
+  /** Returns the fleet of the cooperative at the size given in its requirements. */
   public static FleetPlan cooperative() {
     List<FailureDomain> domains =
         List.of(
@@ -55,7 +57,7 @@
     return plan(domains, 8, 3, "booking", 20, new Weights(1.5, 6, 50));
   }
 
-  /** Returns the consortium's fleet at the size of the brief. */
+  /** Returns the fleet of the consortium at the size given in its requirements. */
   public static FleetPlan consortium() {
     List<FailureDomain> domains =
         List.of(
@@ -98,7 +100,7 @@
     for (int number = 0; number < count; number++) {
       String name = "model-" + (number + 1);
       List<String> adapters = new ArrayList<>();
-      for (int adapter = number; adapter < ADAPTERS_IN_ALL; adapter += count) {
+      for (int adapter = number; adapter < TOTAL_ADAPTERS; adapter += count) {
         adapters.add(name + "-adapter-" + (adapters.size() + 1));
       }
       models.add(new Model(name, MODEL_MEGABYTES, 1, adapters));
--- a/fleet/src/main/java/org/agatefield/fleet/FreePorts.java
+++ b/fleet/src/main/java/org/agatefield/fleet/FreePorts.java
@@ -11,9 +11,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Picks free ports of the loopback address, below the range that outgoing connections use.
+ * Allocates free ports on the loopback address, below the ephemeral range of outgoing connections.
  *
- * <p>Invariant: a port is given out once. For use by one thread.
+ * <p>Invariant: no port is allocated twice. Not thread-safe.
  */
 final class FreePorts {
   private static final String LOOPBACK = "127.0.0.1";
@@ -21,13 +21,13 @@
   private static final int LAST_PORT = 32_000;
 
   private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
-  private final Set<Integer> given = new HashSet<>();
+  private final Set<Integer> allocated = new HashSet<>();
 
   Address next() {
     while (true) {
       int port = random.nextInt(FIRST_PORT, LAST_PORT);
-      if (!given.contains(port) && isFree(port)) {
-        given.add(port);
+      if (!allocated.contains(port) && isFree(port)) {
+        allocated.add(port);
         return new Address(LOOPBACK, port);
       }
     }
--- a/fleet/src/main/java/org/agatefield/fleet/InstanceObjects.java
+++ b/fleet/src/main/java/org/agatefield/fleet/InstanceObjects.java
@@ -8,12 +8,14 @@
 import java.util.Map;
 import org.agatefield.model.Address;
 
-/** Changes the platform's instance list, as the platform would. For use by one thread. */
+/**
+ * Updates the platform's instance list in the store, in the role of the platform. Not thread-safe.
+ */
 final class InstanceObjects {
   static final String COLLECTION = "/apis/agatefield.org/v1/namespaces/default/instances";
 
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(5);
-  private static final Duration STATE_LIMIT = Duration.ofSeconds(60);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration STATE_TIMEOUT = Duration.ofSeconds(60);
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final FleetHttp http;
@@ -24,38 +26,44 @@
     this.store = store;
   }
 
-  /** Sets a state, again and again while the store fails, since the platform's own list goes on. */
+  /**
+   * Sets the state of an instance or upstream. Retries while the store fails, since the real
+   * platform updates its list independently of store failures.
+   */
   void setState(String name, String state) {
     LocalFleet.await(
-        "the list says that " + name + " is " + state, STATE_LIMIT, () -> trySetState(name, state));
+        "the instance list shows " + name + " as " + state,
+        STATE_TIMEOUT,
+        () -> trySetState(name, state));
   }
 
   private boolean trySetState(String name, String state) {
     try {
-      writeState(name, state);
+      updateState(name, state);
       return true;
     } catch (FleetException exception) {
       return false;
     }
   }
 
-  private void writeState(String name, String state) {
+  private void updateState(String name, String state) {
     String path = COLLECTION + "/" + name;
-    FleetHttp.Answer found = FleetHttp.await(http.get(store, path), CALL_LIMIT);
-    if (found.status() >= 300) {
-      throw new FleetException("the instance list does not show " + name + ": " + found.text());
+    FleetHttp.Answer current = FleetHttp.await(http.get(store, path), CALL_TIMEOUT);
+    if (current.status() >= 300) {
+      throw new FleetException(
+          "the instance list does not contain " + name + ": " + current.text());
     }
     try {
-      ObjectNode object = (ObjectNode) MAPPER.readTree(found.text());
+      ObjectNode object = (ObjectNode) MAPPER.readTree(current.text());
       ((ObjectNode) object.path("spec")).put("state", state);
       FleetHttp.Answer answer =
           FleetHttp.await(
-              http.send(HttpMethod.PUT, store, path, Map.of(), object.toString()), CALL_LIMIT);
+              http.send(HttpMethod.PUT, store, path, Map.of(), object.toString()), CALL_TIMEOUT);
       if (answer.status() >= 300) {
-        throw new FleetException("the instance list refused " + name + ": " + answer.text());
+        throw new FleetException("the instance list rejected " + name + ": " + answer.text());
       }
     } catch (JsonProcessingException exception) {
-      throw new FleetException("the instance list answered no JSON", exception);
+      throw new FleetException("the instance list returned invalid JSON", exception);
     }
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/LocalFleet.java
+++ b/fleet/src/main/java/org/agatefield/fleet/LocalFleet.java
@@ -18,25 +18,25 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * The processes of a fleet on this machine: stand-ins of the platform and of the upstreams, and
- * daemons.
+ * Starts and stops the processes of a fleet on this machine: daemons, and stand-ins for the
+ * platform and the upstreams.
  *
- * <p>Invariant: each process is known by name and listens at the same address over restarts; {@link
- * #close()} ends exactly the processes that were started here. For use by one thread.
+ * <p>Invariants: each process has a unique name and keeps its address across restarts; {@link
+ * #close()} ends only processes started by this object. Not thread-safe.
  */
 public final class LocalFleet implements AutoCloseable {
-  /** The bearer token of operators. */
+  /** Bearer token of the operators. */
   public static final String OPERATOR_TOKEN = "operator-token-of-the-local-fleet";
 
-  private static final String STANDIN = "org.agatefield.standin.";
+  private static final String STANDIN_PACKAGE = "org.agatefield.standin.";
   private static final String DAEMON_MAIN = "org.agatefield.daemon.AgatefieldMain";
   private static final String STORE = "store";
   private static final String WEIGHTS = "weights";
-  private static final int DAEMON_MEGABYTES = 128;
-  private static final int STANDIN_MEGABYTES = 192;
-  private static final Duration START_LIMIT = Duration.ofSeconds(60);
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(20);
-  private static final long POLL_MILLISECONDS = 50;
+  private static final int DAEMON_HEAP_MEGABYTES = 128;
+  private static final int STANDIN_HEAP_MEGABYTES = 192;
+  private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
+  private static final long POLL_INTERVAL_MILLISECONDS = 50;
   private static final int ACCEPTED = 200;
   private static final int CONFLICT = 409;
 
@@ -50,14 +50,14 @@
   private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
   private final Map<String, List<String>> daemonOptions = new LinkedHashMap<>();
   private String daemonMain = DAEMON_MAIN;
-  private String limitKeys = "";
-  private String moreTables = "";
-  private Optional<Address> storeForDaemons = Optional.empty();
+  private String additionalLimits = "";
+  private String additionalTables = "";
+  private Optional<Address> daemonStoreAddress = Optional.empty();
 
   /**
-   * Chooses addresses; starts nothing yet.
+   * Allocates the addresses of all processes without starting any.
    *
-   * @param runDirectory where settings and logs go
+   * @param runDirectory the directory for settings and logs
    */
   public LocalFleet(FleetPlan plan, Path runDirectory) {
     this.plan = plan;
@@ -66,27 +66,27 @@
     addresses.put(WEIGHTS, ports.next());
     plan.engines().forEach(engine -> addresses.put(engine.name(), ports.next()));
     plan.services().forEach(service -> addresses.put(service.name(), ports.next()));
-    plan.instances().forEach(this::chooseAddresses);
+    plan.instances().forEach(this::allocateAddresses);
   }
 
-  private void chooseAddresses(FleetPlan.Entry entry) {
+  private void allocateAddresses(FleetPlan.Entry entry) {
     addresses.put(entry.name(), ports.next());
     peerAddresses.put(entry.name(), ports.next());
   }
 
-  /** Lets programs be compiled for speed, for measurements. */
+  /** Enables full JIT compilation in the programs, for measurements. */
   public LocalFleet withFullCompilation() {
     launcher.useFullCompilation();
     return this;
   }
 
-  /** Starts daemons with another main class, such as one that sets a test's hook. */
+  /** Starts daemons with another main class, such as one that installs a test hook. */
   public LocalFleet withDaemonMain(String mainClass) {
     daemonMain = mainClass;
     return this;
   }
 
-  /** Gives one daemon further options of the virtual machine from its next start on. */
+  /** Adds JVM options to one daemon, effective from its next start. */
   public LocalFleet withDaemonOptions(String name, List<String> options) {
     daemonOptions.put(name, List.copyOf(options));
     return this;
@@ -94,34 +94,35 @@
 
   /** Adds keys to the table {@code [limits]} of each daemon's settings. */
   public LocalFleet withLimits(String keys) {
-    limitKeys = keys;
+    additionalLimits = keys;
     return this;
   }
 
   /** Adds tables to each daemon's settings, as TOML text. */
   public LocalFleet withTables(String tables) {
-    moreTables = tables;
+    additionalTables = tables;
     return this;
   }
 
-  /** Lets daemons reach the store at another address, such as a relay's. */
+  /** Sets the address at which daemons connect to the store, such as that of a relay. */
   public LocalFleet withStoreAddress(Address address) {
-    storeForDaemons = Optional.of(address);
+    daemonStoreAddress = Optional.of(address);
     return this;
   }
 
-  /** Starts everything, waits until it answers, and applies the plan's configuration. */
+  /** Starts all processes, waits until they respond, and applies the plan's configuration. */
   public LocalFleet startAll() {
     startPlatform();
     startUpstreams();
     startDaemons();
-    await("the configuration is accepted", START_LIMIT, this::isConfigured);
+    await("the configuration is accepted", START_TIMEOUT, this::isConfigured);
     awaitServing();
     return this;
   }
 
   /**
-   * An answer may be lost on a busy machine; then a conflict says that the document is in force.
+   * Applies the configuration. A conflict also counts as success: if the response to an earlier
+   * attempt was lost on a busy machine, the document is already in effect.
    */
   private boolean isConfigured() {
     try {
@@ -132,7 +133,9 @@
     }
   }
 
-  /** Starts the stand-ins of the platform and fills its instance list. */
+  /**
+   * Starts the stand-ins for the platform and registers all instances and upstreams in its list.
+   */
   public void startPlatform() {
     startStandin(STORE, "store.StoreStandinMain", List.of());
     startStandin(
@@ -150,7 +153,7 @@
     plan.services().forEach(each -> register(each.name(), "UPSTREAM", each.failureDomain()));
   }
 
-  /** Starts the stand-ins of engines and services and waits until they answer. */
+  /** Starts the stand-ins for engines and services and waits until they respond. */
   public void startUpstreams() {
     plan.engines().forEach(engine -> startEngine(engine.name()));
     plan.services().forEach(service -> startService(service.name()));
@@ -158,13 +161,13 @@
     plan.services().forEach(service -> awaitAnswering(service.name()));
   }
 
-  /** Starts every daemon and waits until each answers. */
+  /** Starts all daemons and waits until each responds. */
   public void startDaemons() {
     plan.instances().forEach(entry -> startDaemon(entry.name()));
     plan.instances().forEach(entry -> awaitAnswering(entry.name()));
   }
 
-  /** Starts one engine's stand-in. */
+  /** Starts the stand-in for one engine. */
   public ManagedProcess startEngine(String name) {
     FleetPlan.Engine engine =
         plan.engines().stream().filter(each -> each.name().equals(name)).findFirst().orElseThrow();
@@ -186,17 +189,17 @@
             address(WEIGHTS).toString()));
   }
 
-  /** Starts one plain service's stand-in. */
+  /** Starts the stand-in for one runner of a plain service. */
   public ManagedProcess startService(String name) {
     return startStandin(name, "service.ServiceStandinMain", List.of("--name", name));
   }
 
-  /** Starts the store's stand-in, empty. */
+  /** Starts the stand-in for the store, with no objects. */
   public ManagedProcess startStore() {
     return startStandin(STORE, "store.StoreStandinMain", List.of());
   }
 
-  /** Starts one daemon. */
+  /** Writes the settings of one daemon and starts it. */
   public ManagedProcess startDaemon(String name) {
     Path settings = launcher.runDirectory().resolve(name + ".toml");
     try {
@@ -208,7 +211,7 @@
         launcher.start(
             name,
             address(name),
-            DAEMON_MEGABYTES,
+            DAEMON_HEAP_MEGABYTES,
             daemonOptions.getOrDefault(name, List.of()),
             daemonMain,
             List.of("--settings", settings.toString()));
@@ -217,12 +220,18 @@
   }
 
   private ManagedProcess startStandin(String name, String mainClass, List<String> arguments) {
-    List<String> all = new ArrayList<>();
-    all.add("--port");
-    all.add(Integer.toString(address(name).port()));
-    all.addAll(arguments);
+    List<String> allArguments = new ArrayList<>();
+    allArguments.add("--port");
+    allArguments.add(Integer.toString(address(name).port()));
+    allArguments.addAll(arguments);
     ManagedProcess process =
-        launcher.start(name, address(name), STANDIN_MEGABYTES, List.of(), STANDIN + mainClass, all);
+        launcher.start(
+            name,
+            address(name),
+            STANDIN_HEAP_MEGABYTES,
+            List.of(),
+            STANDIN_PACKAGE + mainClass,
+            allArguments);
     processes.put(name, process);
     return process;
   }
@@ -267,59 +276,60 @@
         entry.failureDomain().name(),
         address(name),
         peerAddresses.get(name),
-        storeForDaemons.orElse(address(STORE)),
+        daemonStoreAddress.orElse(address(STORE)),
         seeds,
         DigestUtils.sha256Hex(OPERATOR_TOKEN),
-        limitKeys,
-        moreTables);
+        additionalLimits,
+        additionalTables);
   }
 
   private void registerEntry(FleetPlan.Entry entry) {
-    String more =
+    String addressFields =
         ",\"callerAddress\":\"%s\",\"peerAddress\":\"%s\""
             .formatted(address(entry.name()), peerAddresses.get(entry.name()));
-    registerWith(entry.name(), "ENTRY", entry.failureDomain(), more);
+    registerInstance(entry.name(), "ENTRY", entry.failureDomain(), addressFields);
   }
 
   private void register(String name, String role, FailureDomain domain) {
-    registerWith(name, role, domain, "");
+    registerInstance(name, role, domain, "");
   }
 
-  private void registerWith(String name, String role, FailureDomain domain, String more) {
+  private void registerInstance(
+      String name, String role, FailureDomain domain, String additionalFields) {
     String body =
         """
         {"apiVersion":"agatefield.org/v1","kind":"Instance","metadata":{"name":"%s"},
          "spec":{"role":"%s","state":"LIVE","region":"%s","failureDomain":"%s"%s}}
         """
-            .formatted(name, role, domain.region(), domain.name(), more);
+            .formatted(name, role, domain.region(), domain.name(), additionalFields);
     FleetHttp.Answer answer =
         call(HttpMethod.POST, address(STORE), InstanceObjects.COLLECTION, Map.of(), body);
     if (answer.status() >= 300) {
-      throw new FleetException("the instance list refused " + name + ": " + answer.text());
+      throw new FleetException("the instance list rejected " + name + ": " + answer.text());
     }
   }
 
-  /** Marks an instance or upstream as leaving in the platform's list. */
+  /** Sets the state of an instance or upstream to leaving in the platform's list. */
   public void markLeaving(String name) {
     new InstanceObjects(http, address(STORE)).setState(name, "LEAVING");
   }
 
-  /** Marks an instance or upstream as live in the platform's list. */
+  /** Sets the state of an instance or upstream to live in the platform's list. */
   public void markLive(String name) {
     new InstanceObjects(http, address(STORE)).setState(name, "LIVE");
   }
 
-  /** Returns the configuration of the plan, written against generation 0. */
+  /** Returns the configuration of the plan, based on generation 0. */
   public ConfigurationDocument configuration() {
     return SampleConfiguration.of(plan, addresses);
   }
 
-  /** Applies a document at the first daemon and returns the answer. */
+  /** Applies a document through the first daemon and returns the response. */
   public FleetHttp.Answer apply(ConfigurationDocument document) {
     return apply(plan.instances().get(0).name(), document);
   }
 
-  /** Applies a document at a daemon and returns the answer. */
+  /** Applies a document through a daemon and returns the response. */
   public FleetHttp.Answer apply(String daemon, ConfigurationDocument document) {
     Map<String, String> headers =
         Map.of("Authorization", "Bearer " + OPERATOR_TOKEN, "Content-Type", "application/json");
@@ -331,13 +341,13 @@
         ConfigurationWriter.toText(document));
   }
 
-  /** Waits until each daemon answers a short request to each model. */
+  /** Waits until each daemon completes a short request to each model. */
   public void awaitServing() {
     for (FleetPlan.Entry entry : plan.instances()) {
       for (FleetPlan.Model model : plan.models()) {
         await(
             entry.name() + " serves " + model.name(),
-            START_LIMIT,
+            START_TIMEOUT,
             () -> isServing(entry.name(), model.name()));
       }
     }
@@ -351,7 +361,7 @@
     }
   }
 
-  /** Sends a short request to a model, answered whole. */
+  /** Sends a short request to a model and waits for its response, which is not streamed. */
   public FleetHttp.Answer complete(String daemon, String model, String prompt) {
     return call(
         HttpMethod.POST,
@@ -361,15 +371,15 @@
         ModelRequests.chat(model, prompt, 4, false));
   }
 
-  /** Waits until a process answers HTTP at its address. */
+  /** Waits until a process responds to HTTP requests at its address. */
   public void awaitAnswering(String name) {
-    await(name + " answers", START_LIMIT, () -> isAnswering(name));
+    await(name + " answers", START_TIMEOUT, () -> isAnswering(name));
   }
 
   private boolean isAnswering(String name) {
     ManagedProcess process = processes.get(name);
     if (!process.isAlive()) {
-      throw new FleetException(name + " ended at its start:\n" + process.logTail());
+      throw new FleetException(name + " exited during startup:\n" + process.logTail());
     }
     try {
       call(HttpMethod.GET, address(name), "/healthz", Map.of(), "");
@@ -386,7 +396,12 @@
     boolean holds();
   }
 
-  /** Waits for a condition, and fails with a {@link FleetException} that names it. */
+  /**
+   * Waits for a condition.
+   *
+   * @param what the condition in words, for the exception
+   * @throws FleetException if the condition does not hold within the limit
+   */
   public static void await(String what, Duration limit, Condition condition) {
     long end = System.nanoTime() + limit.toNanos();
     while (!condition.holds()) {
@@ -394,7 +409,7 @@
         throw new FleetException("not within " + limit.toSeconds() + " s: " + what);
       }
       try {
-        Thread.sleep(POLL_MILLISECONDS);
+        Thread.sleep(POLL_INTERVAL_MILLISECONDS);
       } catch (InterruptedException exception) {
         Thread.currentThread().interrupt();
         throw new FleetException("interrupted", exception);
@@ -402,13 +417,13 @@
     }
   }
 
-  /** Calls an address and waits for the whole answer. */
+  /** Sends a request to an address and waits for the complete response. */
   public FleetHttp.Answer call(
       HttpMethod method, Address address, String path, Map<String, String> headers, String body) {
-    return FleetHttp.await(http.send(method, address, path, headers, body), CALL_LIMIT);
+    return FleetHttp.await(http.send(method, address, path, headers, body), CALL_TIMEOUT);
   }
 
-  /** Returns the client, for calls that are not waited for. */
+  /** Returns the HTTP client, for asynchronous calls. */
   public FleetHttp http() {
     return http;
   }
@@ -423,17 +438,17 @@
     return peerAddresses.get(daemon);
   }
 
-  /** Returns an address that nothing listens on yet. */
+  /** Allocates an address that no process uses yet. */
   public Address freeAddress() {
     return ports.next();
   }
 
-  /** Returns a process that was started; the last one of that name. */
+  /** Returns the most recently started process of the given name. */
   public ManagedProcess process(String name) {
     return processes.get(name);
   }
 
-  /** Returns the processes that were started, by name. */
+  /** Returns the most recently started process for each name. */
   public Map<String, ManagedProcess> processes() {
     return Map.copyOf(processes);
   }
@@ -443,7 +458,7 @@
     return plan;
   }
 
-  /** Leaves the processes running when the fleet is closed. */
+  /** Keeps {@link #close()} from ending the processes started so far. */
   public void detach() {
     processes.clear();
   }
--- a/fleet/src/main/java/org/agatefield/fleet/ManagedProcess.java
+++ b/fleet/src/main/java/org/agatefield/fleet/ManagedProcess.java
@@ -8,12 +8,12 @@
 import org.agatefield.model.Address;
 
 /**
- * A process that the fleet started. Safe for use by any thread.
+ * A process started by the fleet. Thread-safe.
  *
- * <p>Invariant: signals go only to the process itself, by its id.
+ * <p>Invariant: signals are sent only to this process, by its id.
  */
 public final class ManagedProcess implements AutoCloseable {
-  private static final long SIGNAL_SECONDS = 10;
+  private static final long SIGNAL_TIMEOUT_SECONDS = 10;
   private static final int LOG_TAIL_LINES = 15;
 
   private final String name;
@@ -28,52 +28,56 @@
     this.log = log;
   }
 
-  /** Returns the name that the fleet knows the process by. */
+  /** Returns the name of the process in the fleet. */
   public String name() {
     return name;
   }
 
-  /** Returns where the process listens. */
+  /** Returns the address on which the process listens. */
   public Address address() {
     return address;
   }
 
-  /** Returns the process's identifier. */
+  /** Returns the process id. */
   public long identifier() {
     return process.pid();
   }
 
-  /** Returns whether the process runs. */
+  /** Returns whether the process is running. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Ends the process at once. */
+  /** Kills the process and waits for its exit. */
   public void kill() {
     process.destroyForcibly();
-    awaitExit(SIGNAL_SECONDS);
+    awaitExit(SIGNAL_TIMEOUT_SECONDS);
   }
 
-  /** Asks the process to end. */
+  /** Requests a graceful shutdown without waiting for it. */
   public void terminate() {
     process.destroy();
   }
 
-  /** Stops the process from running until {@link #resume()}. */
+  /** Suspends the process until {@link #resume()}. */
   public void pause() {
     signal("STOP");
   }
 
-  /** Lets a paused process go on. */
+  /** Resumes a paused process. */
   public void resume() {
     signal("CONT");
   }
 
-  /** Waits until the process has ended and returns its exit code. */
+  /**
+   * Waits for the process to exit and returns its exit code.
+   *
+   * @throws FleetException if the process does not exit in time
+   */
   public int awaitExit(long seconds) {
     try {
       if (!process.waitFor(seconds, TimeUnit.SECONDS)) {
-        throw new FleetException(name + " did not end within " + seconds + " s");
+        throw new FleetException(name + " did not exit within " + seconds + " s");
       }
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
@@ -82,7 +86,7 @@
     return process.exitValue();
   }
 
-  /** Returns everything that the process has logged. */
+  /** Returns the complete log of the process. */
   public String logText() {
     try {
       return Files.readString(log);
@@ -91,7 +95,7 @@
     }
   }
 
-  /** Returns the last lines that the process has logged. */
+  /** Returns the last lines of the log. */
   public String logTail() {
     List<String> lines = logText().lines().toList();
     int from = Math.max(0, lines.size() - LOG_TAIL_LINES);
@@ -102,7 +106,7 @@
     try {
       Process sender =
           new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start();
-      if (!sender.waitFor(SIGNAL_SECONDS, TimeUnit.SECONDS) || sender.exitValue() != 0) {
+      if (!sender.waitFor(SIGNAL_TIMEOUT_SECONDS, TimeUnit.SECONDS) || sender.exitValue() != 0) {
         throw new FleetException("signal " + signal + " to " + name + " failed");
       }
     } catch (IOException exception) {
@@ -113,7 +117,7 @@
     }
   }
 
-  /** Ends the process at once if it still runs, also a paused one. */
+  /** Kills the process if it is still running, even if it is paused. */
   @Override
   public void close() {
     if (process.isAlive()) {
--- a/fleet/src/main/java/org/agatefield/fleet/ModelRequests.java
+++ b/fleet/src/main/java/org/agatefield/fleet/ModelRequests.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Bodies of requests to models. Stateless. */
+/** Builds the bodies of model requests. Stateless. */
 public final class ModelRequests {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private ModelRequests() {}
 
-  /** Returns the body of a chat completion. */
+  /** Returns the JSON body of a chat completion request. */
   public static String chat(String model, String prompt, int maximumTokens, boolean streamed) {
     ObjectNode request = MAPPER.createObjectNode();
     request.put("model", model);
--- a/fleet/src/main/java/org/agatefield/fleet/ProgramLauncher.java
+++ b/fleet/src/main/java/org/agatefield/fleet/ProgramLauncher.java
@@ -8,13 +8,13 @@
 import org.agatefield.model.Address;
 
 /**
- * Starts the project's programs as processes with the class path of this one. For use by one
- * thread.
+ * Starts the project's programs as separate processes with the class path of the current JVM. Not
+ * thread-safe.
  */
 final class ProgramLauncher {
   private static final List<String> JAVA_OPTIONS =
       List.of("-XX:+UseSerialGC", "-Xss512k", "-XX:+ExitOnOutOfMemoryError");
-  private static final String QUICK_COMPILATION = "-XX:TieredStopAtLevel=1";
+  private static final String FAST_STARTUP_COMPILATION = "-XX:TieredStopAtLevel=1";
 
   private final Path runDirectory;
   private boolean fullCompilation;
@@ -24,11 +24,11 @@
     try {
       Files.createDirectories(runDirectory);
     } catch (IOException exception) {
-      throw new FleetException("the run directory cannot be made: " + runDirectory, exception);
+      throw new FleetException("cannot create run directory " + runDirectory, exception);
     }
   }
 
-  /** Lets programs be compiled for speed, which costs processor time at their start. */
+  /** Enables full JIT compilation, which makes programs faster but costs CPU time at startup. */
   void useFullCompilation() {
     fullCompilation = true;
   }
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Starts a program; what it prints goes to {@code name.log} in the run directory.
+   * Starts a program; its output is appended to {@code name.log} in the run directory.
    *
-   * @param maximumMegabytes the heap's limit
-   * @param options further options of the virtual machine, before the class name
+   * @param maximumMegabytes the maximum heap size
+   * @param options additional JVM options
    */
   ManagedProcess start(
       String name,
@@ -54,7 +54,7 @@
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(JAVA_OPTIONS);
     if (!fullCompilation) {
-      command.add(QUICK_COMPILATION);
+      command.add(FAST_STARTUP_COMPILATION);
     }
     command.add("-Xmx" + maximumMegabytes + "m");
     command.addAll(options);
--- a/fleet/src/main/java/org/agatefield/fleet/Quickstart.java
+++ b/fleet/src/main/java/org/agatefield/fleet/Quickstart.java
@@ -12,11 +12,11 @@
 import org.agatefield.configuration.ConfigurationWriter;
 import org.agatefield.model.Address;
 
-/** Starts a small fleet, configures it and sends one request of each sort. For one thread. */
+/** Starts a small fleet, configures it and sends one request of each kind. Not thread-safe. */
 final class Quickstart {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(20);
-  private static final String KEY = "quickstart-booking-1";
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
+  private static final String IDEMPOTENCY_KEY = "quickstart-booking-1";
   private static final String BOOKING = "{\"visit\":\"school 12\",\"day\":\"2026-12-07\"}";
 
   private final LocalFleet fleet;
@@ -39,12 +39,12 @@
     fleet.startDaemons();
     applyConfiguration();
     fleet.awaitServing();
-    Address entry = askForEntry();
+    Address entry = requestEntry();
     sendModelRequests(entry);
     sendBookings();
     output.println("booking executed " + executions() + " time");
     if (executions() != 1) {
-      throw new FleetException("the booking service counted " + executions() + " executions");
+      throw new FleetException("the booking service reported " + executions() + " executions");
     }
   }
 
@@ -67,17 +67,18 @@
             file.toString()));
   }
 
-  private Address askForEntry() {
+  private Address requestEntry() {
     output.println("4. ask an instance which entry to use for the model summaries");
     FleetHttp.Answer answer =
         FleetHttp.await(
-            fleet.http().get(fleet.address("entry-2"), "/v1/entries?model=summaries"), CALL_LIMIT);
+            fleet.http().get(fleet.address("entry-2"), "/v1/entries?model=summaries"),
+            CALL_TIMEOUT);
     output.println(answer.text());
     try {
       String address = MAPPER.readTree(answer.text()).at("/addresses/0").asText();
       return Address.parse(address);
     } catch (JsonProcessingException | IllegalArgumentException exception) {
-      throw new FleetException("no entry in the answer " + answer.text(), exception);
+      throw new FleetException("no entry address in the response: " + answer.text(), exception);
     }
   }
 
@@ -91,13 +92,21 @@
   private void sendBookings() {
     output.println("7. one booking, sent twice with the same key to two instances");
     List<String> booking =
-        List.of("--service", "booking", "--path", "/bookings", "--body", BOOKING, "--key", KEY);
+        List.of(
+            "--service",
+            "booking",
+            "--path",
+            "/bookings",
+            "--body",
+            BOOKING,
+            "--key",
+            IDEMPOTENCY_KEY);
     String first = send(fleet.address("entry-1"), booking);
     String second = send(fleet.address("entry-3"), booking);
     output.println("entry-1: " + first);
     output.println("entry-3: " + second);
     if (!first.equals(second)) {
-      throw new FleetException("the two answers differ");
+      throw new FleetException("the responses to the same booking differ");
     }
   }
 
@@ -109,11 +118,11 @@
 
   private long executions() {
     FleetHttp.Answer answer =
-        FleetHttp.await(fleet.http().get(fleet.address("booking-1"), "/executions"), CALL_LIMIT);
+        FleetHttp.await(fleet.http().get(fleet.address("booking-1"), "/executions"), CALL_TIMEOUT);
     try {
       return MAPPER.readTree(answer.text()).path("total").asLong();
     } catch (JsonProcessingException exception) {
-      throw new FleetException("no count in the answer " + answer.text(), exception);
+      throw new FleetException("no execution count in the response: " + answer.text(), exception);
     }
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/QuickstartCommand.java
+++ b/fleet/src/main/java/org/agatefield/fleet/QuickstartCommand.java
@@ -8,8 +8,10 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 
-/** Runs the quickstart. */
-@Command(name = "quickstart", description = "Starts a small fleet and sends one request of each")
+/** Runs the quickstart: a small local fleet with sample requests. */
+@Command(
+    name = "quickstart",
+    description = "Starts a small fleet and sends one request of each kind")
 public final class QuickstartCommand implements Callable<Integer> {
   @Option(
       name = {"--keep"},
--- a/fleet/src/main/java/org/agatefield/fleet/SampleConfiguration.java
+++ b/fleet/src/main/java/org/agatefield/fleet/SampleConfiguration.java
@@ -16,7 +16,7 @@
 import org.agatefield.model.UpstreamKind;
 import org.agatefield.model.WeightStoreLimits;
 
-/** Writes the configuration of a {@link FleetPlan}. Stateless. */
+/** Builds the configuration document of a {@link FleetPlan}. Stateless. */
 final class SampleConfiguration {
   private static final long ADAPTER_MEGABYTES = 200;
   private static final long SERVICE_TIMEOUT_MILLISECONDS = 20_000;
@@ -25,9 +25,9 @@
   private SampleConfiguration() {}
 
   /**
-   * Returns the document.
+   * Returns the document, based on generation 0.
    *
-   * @param addresses where each engine and service of the plan listens, by name
+   * @param addresses the listen address of each engine and service of the plan, by name
    */
   static ConfigurationDocument of(FleetPlan plan, Map<String, Address> addresses) {
     List<Deployment> deployments = new ArrayList<>();
--- a/fleet/src/main/java/org/agatefield/fleet/package-info.java
+++ b/fleet/src/main/java/org/agatefield/fleet/package-info.java
@@ -1,2 +1,5 @@
-/** Starts daemons and stand-ins as separate processes, for the quickstart, the soak and tests. */
+/**
+ * Starts daemons and stand-ins as separate processes for the quickstart, soak tests and other
+ * tests.
+ */
 package org.agatefield.fleet;
