--- a/fleet/src/main/java/org/agatefield/fleet/soak/BookingCaller.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/BookingCaller.java
@@ -12,21 +12,22 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A partner that books and repeats each booking at once, at any instance, until it is answered or
- * tries run out; now and then it repeats one that was answered.
+ * Simulates a partner that sends bookings. Retries each booking immediately, at a random instance,
+ * until its outcome is final or the attempts are used up, and resends some successful bookings with
+ * the same key.
  */
 final class BookingCaller implements Runnable {
-  private static final int TRIES = 40;
-  private static final int REPEAT_PERCENT = 20;
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(40);
-  private static final int FINAL_UNKNOWN = 504;
+  private static final int MAX_ATTEMPTS = 40;
+  private static final int RESEND_PERCENT = 20;
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(40);
+  private static final int OUTCOME_UNKNOWN_STATUS = 504;
 
   private final LocalFleet fleet;
   private final UniformRandomProvider random;
   private final EntryChoice entries;
   private final SoakCounts counts;
   private final Violations violations;
-  private final BooleanSupplier goOn;
+  private final BooleanSupplier running;
   private final String name;
   private final List<BookingRecord> records = new CopyOnWriteArrayList<>();
 
@@ -35,14 +36,14 @@
       UniformRandomProvider random,
       SoakCounts counts,
       Violations violations,
-      BooleanSupplier goOn,
+      BooleanSupplier running,
       String name) {
     this.fleet = fleet;
     this.random = random;
     this.entries = new EntryChoice(fleet, random);
     this.counts = counts;
     this.violations = violations;
-    this.goOn = goOn;
+    this.running = running;
     this.name = name;
   }
 
@@ -52,26 +53,26 @@
 
   @Override
   public void run() {
-    while (goOn.getAsBoolean()) {
+    while (running.getAsBoolean()) {
       BookingRecord record = new BookingRecord(name + "-" + records.size());
       records.add(record);
       counts.bookings.increment();
-      book(record);
-      if (record.isAnswered() && random.nextInt(100) < REPEAT_PERCENT) {
+      sendUntilFinal(record);
+      if (record.isAnswered() && random.nextInt(100) < RESEND_PERCENT) {
         send(record);
       }
     }
   }
 
-  private void book(BookingRecord record) {
-    for (int attempt = 0; attempt < TRIES; attempt++) {
+  private void sendUntilFinal(BookingRecord record) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (send(record)) {
         return;
       }
     }
   }
 
-  /** Sends the booking once; returns whether its outcome is final. */
+  /** Sends the booking once and returns whether its outcome is final. */
   private boolean send(BookingRecord record) {
     counts.bookingAttempts.increment();
     String service = fleet.plan().services().get(0).service();
@@ -87,22 +88,22 @@
                       "/services/" + service + "/bookings",
                       Map.of("Content-Type", "application/json", "Idempotency-Key", record.key),
                       "{\"visit\":\"" + record.key + "\"}"),
-              CALL_LIMIT);
+              CALL_TIMEOUT);
     } catch (FleetException exception) {
       record.perhapsRun();
       return false;
     }
-    return take(record, answer);
+    return recordOutcome(record, answer);
   }
 
-  private boolean take(BookingRecord record, FleetHttp.Answer answer) {
+  private boolean recordOutcome(BookingRecord record, FleetHttp.Answer answer) {
     if (answer.status() < 300) {
       record
           .answered(answer.text())
           .ifPresent(
               earlier ->
                   violations.add(
-                      "answers differ: key=%s %s and %s"
+                      "responses to the same booking differ: key=%s %s and %s"
                           .formatted(record.key, earlier, answer.text())));
       counts.bookingsAnswered.increment();
       return true;
@@ -110,6 +111,6 @@
     if (!answer.text().contains("\"run\":\"no\"")) {
       record.perhapsRun();
     }
-    return answer.status() == FINAL_UNKNOWN;
+    return answer.status() == OUTCOME_UNKNOWN_STATUS;
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/soak/BookingRecord.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/BookingRecord.java
@@ -3,9 +3,11 @@
 import java.util.Optional;
 
 /**
- * What a partner was told about one booking. For use by one thread, then read by another.
+ * Records the responses that a partner received for one booking. Not thread-safe: written by one
+ * thread, then read by another.
  *
- * <p>Invariant: {@code onlyNotRun} holds as long as every attempt was answered "not run".
+ * <p>Invariant: {@code onlyNotRun} is true as long as every response stated that the call was not
+ * run.
  */
 final class BookingRecord {
   final String key;
@@ -20,7 +22,7 @@
     onlyNotRun = false;
   }
 
-  /** Takes a successful answer; returns the earlier one if it differs. */
+  /** Records a successful response; returns the previous one if it differs. */
   Optional<String> answered(String body) {
     onlyNotRun = false;
     if (answer != null && !answer.equals(body)) {
--- a/fleet/src/main/java/org/agatefield/fleet/soak/ConfigurationOperators.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/ConfigurationOperators.java
@@ -18,13 +18,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Two operators who change the configuration at the same time at different instances; at most one
- * may win each generation. For use by one thread.
+ * Simulates two operators who change the configuration concurrently, each through a randomly chosen
+ * instance, and checks that each generation is accepted at most once. Not thread-safe.
  */
 final class ConfigurationOperators {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(20);
-  private static final int ACCEPTED = 200;
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
+  private static final int ACCEPTED_STATUS = 200;
   private static final Map<String, String> HEADERS =
       Map.of(
           "Authorization",
@@ -46,28 +46,28 @@
     this.violations = violations;
   }
 
-  /** Returns the last generation that an operator was told of. */
+  /** Returns the highest generation reported to an operator as accepted. */
   long lastAccepted() {
     return lastAccepted;
   }
 
-  /** Lets both operators read the document and apply a change of their own. */
+  /** Has both operators read the document and apply different changes concurrently. */
   void race() {
     List<CompletableFuture<FleetHttp.Answer>> answers = new ArrayList<>();
     for (int operator = 0; operator < 2; operator++) {
-      change(operator).ifPresent(answers::add);
+      submitChange(operator).ifPresent(answers::add);
     }
     List<Long> accepted = new ArrayList<>();
     for (CompletableFuture<FleetHttp.Answer> answer : answers) {
       acceptedGeneration(answer).ifPresent(accepted::add);
     }
     if (accepted.size() != accepted.stream().distinct().count()) {
-      violations.add("two operators were both told of generation " + accepted);
+      violations.add("the same generation was accepted for two operators: " + accepted);
     }
-    accepted.forEach(this::checkRises);
+    accepted.forEach(this::checkIncreasing);
   }
 
-  private void checkRises(long generation) {
+  private void checkIncreasing(long generation) {
     counts.configurations.increment();
     if (generation <= lastAccepted) {
       violations.add("generation " + generation + " accepted after " + lastAccepted);
@@ -75,14 +75,14 @@
     lastAccepted = Math.max(lastAccepted, generation);
   }
 
-  private Optional<CompletableFuture<FleetHttp.Answer>> change(int operator) {
+  private Optional<CompletableFuture<FleetHttp.Answer>> submitChange(int operator) {
     List<FleetPlan.Entry> entries = fleet.plan().instances();
     var address = fleet.address(entries.get(random.nextInt(entries.size())).name());
     try {
       FleetHttp.Answer current =
           FleetHttp.await(
               fleet.http().send(HttpMethod.GET, address, "/operator/configuration", HEADERS, ""),
-              CALL_LIMIT);
+              CALL_TIMEOUT);
       ObjectNode document = (ObjectNode) MAPPER.readTree(current.text());
       JsonNode deployments = document.path("deployments");
       int chosen = random.nextInt(Math.max(1, deployments.size()));
@@ -104,8 +104,8 @@
 
   private static Optional<Long> acceptedGeneration(CompletableFuture<FleetHttp.Answer> pending) {
     try {
-      FleetHttp.Answer answer = FleetHttp.await(pending, CALL_LIMIT);
-      if (answer.status() != ACCEPTED) {
+      FleetHttp.Answer answer = FleetHttp.await(pending, CALL_TIMEOUT);
+      if (answer.status() != ACCEPTED_STATUS) {
         return Optional.empty();
       }
       return Optional.of(MAPPER.readTree(answer.text()).path("generation").asLong());
--- a/fleet/src/main/java/org/agatefield/fleet/soak/EntryChoice.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/EntryChoice.java
@@ -13,16 +13,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Asks instances which entries to use and keeps the answer for its time to live, as callers do. For
- * use by one thread.
+ * Selects the entry for a request, as callers do: queries an instance for the list of entries and
+ * caches it for its time to live. Not thread-safe.
  */
 final class EntryChoice {
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(5);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final LocalFleet fleet;
   private final UniformRandomProvider random;
-  private List<Address> known = List.of();
+  private List<Address> cachedEntries = List.of();
   private long validUntilNanoseconds = Long.MIN_VALUE;
 
   EntryChoice(LocalFleet fleet, UniformRandomProvider random) {
@@ -30,20 +30,20 @@
     this.random = random;
   }
 
-  /** Returns an entry that an instance named, or any instance if none answers. */
+  /** Returns a random entry of the list, or any instance if the list is unavailable. */
   Address next() {
-    if (known.isEmpty() || System.nanoTime() > validUntilNanoseconds) {
-      ask();
+    if (cachedEntries.isEmpty() || System.nanoTime() > validUntilNanoseconds) {
+      refresh();
     }
-    if (known.isEmpty()) {
+    if (cachedEntries.isEmpty()) {
       return anyDaemon();
     }
-    return known.get(random.nextInt(known.size()));
+    return cachedEntries.get(random.nextInt(cachedEntries.size()));
   }
 
-  /** Asks again before the next use, since an entry could not be reached. */
+  /** Discards the cached list, after a request to an entry failed. */
   void forget() {
-    known = List.of();
+    cachedEntries = List.of();
   }
 
   Address anyDaemon() {
@@ -51,18 +51,18 @@
     return fleet.address(entries.get(random.nextInt(entries.size())).name());
   }
 
-  private void ask() {
+  private void refresh() {
     try {
       FleetHttp.Answer answer =
-          FleetHttp.await(fleet.http().get(anyDaemon(), "/v1/entries"), CALL_LIMIT);
+          FleetHttp.await(fleet.http().get(anyDaemon(), "/v1/entries"), CALL_TIMEOUT);
       JsonNode body = MAPPER.readTree(answer.text());
       List<Address> addresses = new ArrayList<>();
       body.path("addresses").forEach(each -> addresses.add(Address.parse(each.asText())));
-      known = addresses;
+      cachedEntries = addresses;
       long seconds = body.path("timeToLiveSeconds").asLong();
       validUntilNanoseconds = System.nanoTime() + Duration.ofSeconds(seconds).toNanos();
     } catch (FleetException | JsonProcessingException exception) {
-      known = List.of();
+      cachedEntries = List.of();
     }
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/soak/FailureInjector.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/FailureInjector.java
@@ -12,15 +12,15 @@
 import org.agatefield.fleet.ManagedProcess;
 
 /**
- * Brings planned failures about and ends them.
+ * Starts and ends planned failures.
  *
- * <p>Invariant: a process has at most one failure at a time; a second one for it is left out. For
- * use by one thread.
+ * <p>Invariant: a process has at most one failure at a time; a further one is skipped. Not
+ * thread-safe.
  */
 final class FailureInjector {
   private static final String STORE = "store";
   private static final String NO_FAULTS = "{}";
-  private static final long DRAIN_SECONDS = 150;
+  private static final long DRAIN_TIMEOUT_SECONDS = 150;
 
   private final LocalFleet fleet;
   private final SoakCounts counts;
@@ -53,7 +53,7 @@
       }
       case PAUSE_DAEMON, PAUSE_ENGINE -> fleet.process(target).pause();
       case RESTART_DAEMON -> fleet.process(target).terminate();
-      case ENGINE_LEAVES -> changeList(() -> fleet.markLeaving(target));
+      case ENGINE_LEAVES -> changeInstanceList(() -> fleet.markLeaving(target));
       default -> setFaults(target, faultsOf(failure.kind()));
     }
   }
@@ -68,28 +68,31 @@
       case KILL_ENGINE -> fleet.startEngine(target);
       case PAUSE_DAEMON, PAUSE_ENGINE -> fleet.process(target).resume();
       case RESTART_DAEMON -> restart(target);
-      case ENGINE_LEAVES -> changeList(() -> fleet.markLive(target));
+      case ENGINE_LEAVES -> changeInstanceList(() -> fleet.markLive(target));
       default -> setFaults(target, NO_FAULTS);
     }
   }
 
   private void restart(String daemon) {
     ManagedProcess process = fleet.process(daemon);
-    int code = process.awaitExit(DRAIN_SECONDS);
+    int code = process.awaitExit(DRAIN_TIMEOUT_SECONDS);
     if (code != 0) {
-      checks.report("graceful shutdown of " + daemon + " ended with " + code);
+      checks.report("graceful shutdown of " + daemon + " ended with exit code " + code);
     }
     fleet.startDaemon(daemon);
   }
 
-  /** Does not wait: the store may be down until a later event of the schedule. */
-  private void changeList(Runnable change) {
+  /**
+   * Changes the instance list asynchronously, since the store may be down until a later event of
+   * the schedule.
+   */
+  private void changeInstanceList(Runnable change) {
     listChanges =
         listChanges
             .thenRunAsync(change)
             .exceptionally(
                 failure -> {
-                  checks.report("the soak itself failed: " + failure.getMessage());
+                  checks.report("soak test error: " + failure.getMessage());
                   return null;
                 });
   }
@@ -105,16 +108,19 @@
   private String targetOf(PlannedFailure failure) {
     return switch (failure.kind()) {
       case KILL_DAEMON, PAUSE_DAEMON, RESTART_DAEMON ->
-          pick(fleet.plan().instances().stream().map(FleetPlan.Entry::name).toList(), failure);
+          selectTarget(
+              fleet.plan().instances().stream().map(FleetPlan.Entry::name).toList(), failure);
       case STORE_DOWN, STORE_SLOW, STORE_LOSES_ANSWERS -> STORE;
       case SERVICE_REFUSES, SERVICE_LOSES_ANSWERS, SERVICE_SLOW ->
-          pick(fleet.plan().services().stream().map(FleetPlan.Service::name).toList(), failure);
+          selectTarget(
+              fleet.plan().services().stream().map(FleetPlan.Service::name).toList(), failure);
       default ->
-          pick(fleet.plan().engines().stream().map(FleetPlan.Engine::name).toList(), failure);
+          selectTarget(
+              fleet.plan().engines().stream().map(FleetPlan.Engine::name).toList(), failure);
     };
   }
 
-  private static String pick(List<String> names, PlannedFailure failure) {
+  private static String selectTarget(List<String> names, PlannedFailure failure) {
     return names.get(failure.target() % names.size());
   }
 
--- a/fleet/src/main/java/org/agatefield/fleet/soak/FailureKind.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/FailureKind.java
@@ -1,39 +1,39 @@
 package org.agatefield.fleet.soak;
 
-/** The failures that a soak brings about. */
+/** Kinds of failures that a soak test injects. */
 enum FailureKind {
-  /** A daemon is killed and started again. */
+  /** A daemon is killed and restarted. */
   KILL_DAEMON,
-  /** A daemon is paused and goes on. */
+  /** A daemon is paused and resumed. */
   PAUSE_DAEMON,
-  /** A daemon is asked to end and is started again. */
+  /** A daemon is shut down gracefully and restarted. */
   RESTART_DAEMON,
-  /** The store refuses all calls. */
+  /** The store rejects all calls. */
   STORE_DOWN,
-  /** The store answers late. */
+  /** The store responds late. */
   STORE_SLOW,
-  /** The store loses answers to writes that took effect. */
+  /** The store loses responses to writes that took effect. */
   STORE_LOSES_ANSWERS,
-  /** An engine is killed and started again. */
+  /** An engine is killed and restarted. */
   KILL_ENGINE,
-  /** An engine is paused and goes on. */
+  /** An engine is paused and resumed. */
   PAUSE_ENGINE,
-  /** An engine cuts its answers after some tokens. */
+  /** An engine resets the connection after some tokens of a response. */
   ENGINE_CUTS_ANSWERS,
-  /** An engine ends streams in good order before their end marker. */
+  /** An engine closes streams cleanly without their end marker. */
   ENGINE_ENDS_EARLY,
-  /** An engine sends the answer of one request to another. */
+  /** An engine sends the response to one request as that of another. */
   ENGINE_CROSSES_ANSWERS,
-  /** An engine carries orders out late. */
+  /** An engine executes orders late. */
   ENGINE_DELAYS_ORDERS,
-  /** An engine carries each order out twice and loses the answers. */
+  /** An engine executes each order twice and loses the responses. */
   ENGINE_DOUBLES_ORDERS,
-  /** A service's runner refuses calls. */
+  /** A runner of a service refuses calls. */
   SERVICE_REFUSES,
-  /** A service's runner executes calls and closes the connection. */
+  /** A runner of a service executes calls but resets the connection instead of responding. */
   SERVICE_LOSES_ANSWERS,
-  /** A service's runner answers late. */
+  /** A runner of a service responds late. */
   SERVICE_SLOW,
-  /** The platform's list says that an engine is leaving, then that it is live again. */
+  /** An engine is marked as leaving in the platform's instance list, then as live again. */
   ENGINE_LEAVES
 }
--- a/fleet/src/main/java/org/agatefield/fleet/soak/ModelCaller.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/ModelCaller.java
@@ -17,16 +17,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A partner that sends streamed requests and repeats a failed one at once. Each answer that claims
- * to be whole is checked against the prompt.
+ * Simulates a partner that sends streaming requests to models and retries failed ones immediately.
+ * Checks each response with an end marker against the prompt and the requested number of tokens.
  */
 final class ModelCaller implements Runnable {
-  private static final int TRIES = 5;
-  private static final int MOST_TOKENS = 40;
-  private static final int ADAPTER_SHARE_PERCENT = 30;
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(40);
+  private static final int MAX_ATTEMPTS = 5;
+  private static final int MAX_TOKENS = 40;
+  private static final int ADAPTER_PERCENT = 30;
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(40);
   private static final String DEADLINE_MILLISECONDS = "15000";
-  private static final String DATA = "data:";
+  private static final String DATA_PREFIX = "data:";
   private static final String END_MARKER = "[DONE]";
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -35,34 +35,34 @@
   private final EntryChoice entries;
   private final SoakCounts counts;
   private final Violations violations;
-  private final BooleanSupplier goOn;
+  private final BooleanSupplier running;
   private final String name;
-  private long number;
+  private long nextPromptNumber;
 
   ModelCaller(
       LocalFleet fleet,
       UniformRandomProvider random,
       SoakCounts counts,
       Violations violations,
-      BooleanSupplier goOn,
+      BooleanSupplier running,
       String name) {
     this.fleet = fleet;
     this.random = random;
     this.entries = new EntryChoice(fleet, random);
     this.counts = counts;
     this.violations = violations;
-    this.goOn = goOn;
+    this.running = running;
     this.name = name;
   }
 
   @Override
   public void run() {
-    while (goOn.getAsBoolean()) {
-      String prompt = name + " asks " + number++;
+    while (running.getAsBoolean()) {
+      String prompt = name + " asks " + nextPromptNumber++;
       String model = drawModel();
-      int tokens = random.nextInt(1, MOST_TOKENS + 1);
+      int tokens = random.nextInt(1, MAX_TOKENS + 1);
       boolean answered = false;
-      for (int attempt = 0; attempt < TRIES && !answered; attempt++) {
+      for (int attempt = 0; attempt < MAX_ATTEMPTS && !answered; attempt++) {
         answered = send(entries.next(), model, prompt, tokens);
       }
     }
@@ -71,7 +71,7 @@
   private String drawModel() {
     var models = fleet.plan().models();
     FleetPlan.Model model = models.get(random.nextInt(models.size()));
-    boolean useAdapter = random.nextInt(100) < ADAPTER_SHARE_PERCENT;
+    boolean useAdapter = random.nextInt(100) < ADAPTER_PERCENT;
     if (useAdapter && !model.adapters().isEmpty()) {
       return model.adapters().get(random.nextInt(model.adapters().size()));
     }
@@ -96,45 +96,46 @@
                           "X-Request-Deadline-Ms",
                           DEADLINE_MILLISECONDS),
                       ModelRequests.chat(model, prompt, tokens, true)),
-              CALL_LIMIT);
+              CALL_TIMEOUT);
     } catch (FleetException exception) {
       entries.forget();
       return false;
     }
     if (answer.status() != 200 || !answer.text().contains(END_MARKER)) {
-      checkEndsWithAnError(answer, prompt);
+      checkEndsWithError(answer, prompt);
       return false;
     }
-    checkWhole(answer, model, prompt, tokens);
+    checkComplete(answer, model, prompt, tokens);
     counts.wholeAnswers.increment();
     return true;
   }
 
-  private void checkEndsWithAnError(FleetHttp.Answer answer, String prompt) {
+  private void checkEndsWithError(FleetHttp.Answer answer, String prompt) {
     if (answer.status() == 200 && !answer.text().contains("\"error\"")) {
-      violations.add("short answer without an error: prompt=" + prompt + " " + evidence(answer));
+      violations.add(
+          "truncated response without an error: prompt=" + prompt + " " + describe(answer));
     }
   }
 
-  private void checkWhole(FleetHttp.Answer answer, String model, String prompt, int tokens) {
+  private void checkComplete(FleetHttp.Answer answer, String model, String prompt, int tokens) {
     StringBuilder text = new StringBuilder();
     String checksum = "";
-    int parts = 0;
+    int chunks = 0;
     for (String line : answer.text().split("\n")) {
-      if (!line.startsWith(DATA) || line.contains(END_MARKER)) {
+      if (!line.startsWith(DATA_PREFIX) || line.contains(END_MARKER)) {
         continue;
       }
-      JsonNode chunk = parse(line.substring(DATA.length()));
+      JsonNode chunk = parse(line.substring(DATA_PREFIX.length()));
       String content = chunk.at("/choices/0/delta/content").asText("");
       text.append(content);
-      parts += content.isEmpty() ? 0 : 1;
+      chunks += content.isEmpty() ? 0 : 1;
       checksum = chunk.path("checksum").asText(checksum);
     }
     String expected = TokenSequence.checksum(prompt + "\n", text.toString());
-    if (parts != tokens || !checksum.equals(expected)) {
+    if (chunks != tokens || !checksum.equals(expected)) {
       violations.add(
-          "answer is not whole or not the caller's: model=%s prompt=%s tokens=%d parts=%d %s"
-              .formatted(model, prompt, tokens, parts, evidence(answer)));
+          "response incomplete or of another request: model=%s prompt=%s tokens=%d parts=%d %s"
+              .formatted(model, prompt, tokens, chunks, describe(answer)));
     }
   }
 
@@ -146,7 +147,7 @@
     }
   }
 
-  private static String evidence(FleetHttp.Answer answer) {
+  private static String describe(FleetHttp.Answer answer) {
     return "headers=" + answer.headers() + " answer=" + answer.text().replace('\n', ' ');
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/soak/SoakChecks.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/SoakChecks.java
@@ -13,17 +13,17 @@
 import org.agatefield.fleet.FleetPlan;
 import org.agatefield.fleet.LocalFleet;
 
-/** Reads what daemons and stand-ins counted and reports broken promises. For one thread. */
+/** Reads the counters of daemons and stand-ins and reports violated guarantees. Not thread-safe. */
 final class SoakChecks {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final Duration HEAL_LIMIT = Duration.ofSeconds(90);
+  private static final Duration RECOVERY_TIMEOUT = Duration.ofSeconds(90);
   private static final Map<String, String> AUTHORIZATION =
       Map.of("Authorization", "Bearer " + LocalFleet.OPERATOR_TOKEN);
 
   private final LocalFleet fleet;
   private final Violations violations;
   private final Map<String, Long> lastGeneration = new HashMap<>();
-  private final Map<String, Long> lastProcess = new HashMap<>();
+  private final Map<String, Long> lastProcessId = new HashMap<>();
 
   SoakChecks(LocalFleet fleet, Violations violations) {
     this.fleet = fleet;
@@ -34,7 +34,7 @@
     violations.add(evidence);
   }
 
-  /** Adds the violations that a daemon counted itself. */
+  /** Reports violations counted by a daemon. */
   void readViolations(String daemon) {
     JsonNode status = status(daemon);
     long count = status.path("violations").asLong();
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Adds the overcommits that an engine counted itself. */
+  /** Reports memory overcommits recorded by an engine. */
   void readOvercommits(String engine) {
     JsonNode record = read(HttpMethod.GET, engine, "/violations", Map.of());
     record
@@ -51,38 +51,42 @@
         .forEach(each -> violations.add("memory of " + engine + " overcommitted: " + each));
   }
 
-  /** Checks that no process has fallen back to an earlier configuration. */
+  /** Checks that no daemon process has reverted to an earlier generation of the configuration. */
   void readGenerations() {
     for (FleetPlan.Entry entry : fleet.plan().instances()) {
       JsonNode status = status(entry.name());
       if (!status.has("generation")) {
         continue;
       }
-      long process = fleet.process(entry.name()).identifier();
+      long processId = fleet.process(entry.name()).identifier();
       long generation = status.path("generation").asLong();
-      boolean sameProcess = lastProcess.getOrDefault(entry.name(), -1L) == process;
+      boolean sameProcess = lastProcessId.getOrDefault(entry.name(), -1L) == processId;
       if (sameProcess && generation < lastGeneration.get(entry.name())) {
-        violations.add(entry.name() + " fell back to generation " + generation);
+        violations.add(entry.name() + " reverted to generation " + generation);
       }
-      lastProcess.put(entry.name(), process);
+      lastProcessId.put(entry.name(), processId);
       lastGeneration.put(entry.name(), generation);
     }
   }
 
-  /** Waits until the whole fleet is well again, and reports what is not. */
+  /**
+   * Waits until the whole fleet has recovered and reports each condition that is not met in time.
+   */
   void checkHealed(long lastAccepted) {
     for (FleetPlan.Entry entry : fleet.plan().instances()) {
       String name = entry.name();
-      expect(name + " has generation " + lastAccepted, () -> generation(name) >= lastAccepted);
+      awaitCondition(
+          name + " has generation " + lastAccepted, () -> generation(name) >= lastAccepted);
       for (FleetPlan.Model model : fleet.plan().models()) {
-        expect(model.name() + " is reachable at " + name, () -> isAnswered(name, model.name()));
+        awaitCondition(
+            model.name() + " is reachable at " + name, () -> canComplete(name, model.name()));
       }
       readViolations(name);
     }
     fleet.plan().engines().forEach(engine -> readOvercommits(engine.name()));
   }
 
-  private boolean isAnswered(String daemon, String model) {
+  private boolean canComplete(String daemon, String model) {
     try {
       return fleet.complete(daemon, model, "well again?").status() == 200;
     } catch (FleetException exception) {
@@ -94,15 +98,17 @@
     return status(daemon).path("generation").asLong();
   }
 
-  private void expect(String what, LocalFleet.Condition condition) {
+  private void awaitCondition(String description, LocalFleet.Condition condition) {
     try {
-      LocalFleet.await(what, HEAL_LIMIT, condition);
+      LocalFleet.await(description, RECOVERY_TIMEOUT, condition);
     } catch (FleetException exception) {
       violations.add(exception.getMessage());
     }
   }
 
-  /** Compares what partners were told with what the service's runners executed. */
+  /**
+   * Compares the responses to partners with the executions counted by the runners of the service.
+   */
   void checkBookings(List<BookingRecord> records) {
     Map<String, Long> executions = new HashMap<>();
     for (FleetPlan.Service service : fleet.plan().services()) {
@@ -122,10 +128,10 @@
       violations.add("booking " + record.key + " executed " + executed + " times");
     }
     if (executed == 0 && record.isAnswered()) {
-      violations.add("booking " + record.key + " answered and never executed");
+      violations.add("booking " + record.key + " reported as successful but never executed");
     }
     if (executed > 0 && record.onlyNotRun()) {
-      violations.add("booking " + record.key + " refused as not run and executed");
+      violations.add("booking " + record.key + " reported as not run but executed");
     }
   }
 
--- a/fleet/src/main/java/org/agatefield/fleet/soak/SoakCommand.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/SoakCommand.java
@@ -11,28 +11,31 @@
 import org.agatefield.fleet.FleetPlans;
 import org.agatefield.fleet.LocalFleet;
 
-/** Runs a soak. */
-@Command(name = "soak", description = "Runs a whole fleet under seeded failures and checks it")
+/** Runs a soak test of a local fleet. */
+@Command(
+    name = "soak",
+    description =
+        "Runs a whole fleet under a seeded schedule of failures and checks its guarantees")
 public final class SoakCommand implements Callable<Integer> {
   private static final int SECONDS_PER_MINUTE = 60;
-  private static final String QUARANTINE = "order_quarantine_seconds = 10";
+  private static final String QUARANTINE_LIMIT = "order_quarantine_seconds = 10";
 
   @Option(
       name = {"--seed"},
       title = "N",
-      description = "The same seed gives the same schedule of failures")
+      description = "Seed of the failure schedule; the same seed gives the same schedule")
   private long seed = 1;
 
   @Option(
       name = {"--minutes"},
       title = "M",
-      description = "How long to send requests; a fraction is allowed")
+      description = "Duration of the load in minutes; fractions are allowed")
   private double minutes = 2;
 
   @Option(
       name = {"--user"},
       title = "USER",
-      description = "Whose sizes: cooperative, consortium or small")
+      description = "Fleet to start: cooperative, consortium or small")
   @AllowedRawValues(allowedValues = {"cooperative", "consortium", "small"})
   private String user = "cooperative";
 
@@ -40,7 +43,7 @@
   public Integer call() throws IOException {
     Path runDirectory = Files.createTempDirectory("agatefield-soak-");
     System.out.println("seed " + seed + ", logs are in " + runDirectory);
-    try (LocalFleet fleet = new LocalFleet(plan(), runDirectory).withLimits(QUARANTINE)) {
+    try (LocalFleet fleet = new LocalFleet(plan(), runDirectory).withLimits(QUARANTINE_LIMIT)) {
       int violations = new SoakRun(fleet, seed, (int) (minutes * SECONDS_PER_MINUTE)).run();
       return violations == 0 ? 0 : 1;
     }
--- a/fleet/src/main/java/org/agatefield/fleet/soak/SoakCounts.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/SoakCounts.java
@@ -2,7 +2,9 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what a soak did. Safe for use by any thread. */
+/**
+ * Counts the requests, bookings, failures and configuration changes of a soak test. Thread-safe.
+ */
 final class SoakCounts {
   final LongAdder requests = new LongAdder();
   final LongAdder wholeAnswers = new LongAdder();
--- a/fleet/src/main/java/org/agatefield/fleet/soak/SoakEvent.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/SoakEvent.java
@@ -1,10 +1,10 @@
 package org.agatefield.fleet.soak;
 
 /**
- * Something that a soak does at a time. Immutable; ordered by time.
+ * An action scheduled for a given time of a soak test. Immutable; ordered by time.
  *
  * @param second seconds after the start of the load
- * @param action what to do
+ * @param action the action to run
  */
 record SoakEvent(int second, Runnable action) implements Comparable<SoakEvent> {
   @Override
--- a/fleet/src/main/java/org/agatefield/fleet/soak/SoakRun.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/SoakRun.java
@@ -12,21 +12,24 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** One soak: load, failures by a seeded schedule, checks throughout and at the end. */
+/**
+ * Runs one soak test: generates load, injects failures from a seeded schedule, and checks the
+ * guarantees during the run and at its end.
+ */
 final class SoakRun {
   private static final int MODEL_CALLERS = 16;
   private static final int BOOKING_CALLERS = 6;
-  private static final int OPERATORS_EVERY_SECONDS = 7;
-  private static final int QUIET_SECONDS = 15;
-  private static final long LAST_CALLS_SECONDS = 120;
-  private static final long TICK_MILLISECONDS = 200;
+  private static final int OPERATOR_INTERVAL_SECONDS = 7;
+  private static final int RECOVERY_SECONDS = 15;
+  private static final long CALLER_SHUTDOWN_TIMEOUT_SECONDS = 120;
+  private static final long POLL_INTERVAL_MILLISECONDS = 200;
 
   private final LocalFleet fleet;
   private final long seed;
   private final int seconds;
   private final SoakCounts counts = new SoakCounts();
   private final Violations violations = new Violations();
-  private final AtomicBoolean loading = new AtomicBoolean(true);
+  private final AtomicBoolean loadRunning = new AtomicBoolean(true);
   private final List<BookingCaller> bookingCallers = new ArrayList<>();
   private final SoakChecks checks;
   private final FailureInjector injector;
@@ -39,17 +42,17 @@
     this.injector = new FailureInjector(fleet, counts, checks);
   }
 
-  /** Runs the soak and returns the number of violations. */
+  /** Runs the soak test and returns the number of violations. */
   int run() {
     fleet.startAll();
     ExecutorService callers = Executors.newCachedThreadPool();
     startCallers(callers);
     ConfigurationOperators operators =
-        new ConfigurationOperators(fleet, generator(3), counts, violations);
+        new ConfigurationOperators(fleet, createRandom(3), counts, violations);
     try {
-      drive(operators);
+      runEvents(operators);
     } finally {
-      loading.set(false);
+      loadRunning.set(false);
       awaitCallers(callers);
     }
     checks.checkHealed(operators.lastAccepted());
@@ -64,34 +67,45 @@
     for (int number = 0; number < MODEL_CALLERS; number++) {
       callers.execute(
           new ModelCaller(
-              fleet, generator(100 + number), counts, violations, loading::get, "m" + number));
+              fleet,
+              createRandom(100 + number),
+              counts,
+              violations,
+              loadRunning::get,
+              "m" + number));
     }
     for (int number = 0; number < BOOKING_CALLERS; number++) {
       BookingCaller caller =
           new BookingCaller(
-              fleet, generator(200 + number), counts, violations, loading::get, "b" + number);
+              fleet,
+              createRandom(200 + number),
+              counts,
+              violations,
+              loadRunning::get,
+              "b" + number);
       bookingCallers.add(caller);
       callers.execute(caller);
     }
   }
 
-  private void drive(ConfigurationOperators operators) {
-    List<PlannedFailure> schedule = FailureSchedule.plan(generator(1), seconds - QUIET_SECONDS);
+  private void runEvents(ConfigurationOperators operators) {
+    List<PlannedFailure> schedule =
+        FailureSchedule.plan(createRandom(1), seconds - RECOVERY_SECONDS);
     PriorityQueue<SoakEvent> events = new PriorityQueue<>();
     for (PlannedFailure failure : schedule) {
       events.add(new SoakEvent(failure.beginSecond(), () -> injector.begin(failure)));
       events.add(new SoakEvent(failure.endSecond(), () -> injector.end(failure)));
     }
-    for (int second = 3; second < seconds; second += OPERATORS_EVERY_SECONDS) {
+    for (int second = 3; second < seconds; second += OPERATOR_INTERVAL_SECONDS) {
       events.add(new SoakEvent(second, operators::race));
       events.add(new SoakEvent(second + 3, checks::readGenerations));
     }
-    long begin = System.nanoTime();
-    while (elapsedSeconds(begin) < seconds) {
-      while (!events.isEmpty() && events.peek().second() <= elapsedSeconds(begin)) {
+    long startNanoseconds = System.nanoTime();
+    while (elapsedSeconds(startNanoseconds) < seconds) {
+      while (!events.isEmpty() && events.peek().second() <= elapsedSeconds(startNanoseconds)) {
         runEvent(events.poll());
       }
-      pause();
+      sleepPollInterval();
     }
     events.forEach(this::runEvent);
   }
@@ -100,17 +114,17 @@
     try {
       event.action().run();
     } catch (FleetException exception) {
-      violations.add("the soak itself failed: " + exception.getMessage());
+      violations.add("soak test error: " + exception.getMessage());
     }
   }
 
-  private static long elapsedSeconds(long begin) {
-    return TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - begin);
+  private static long elapsedSeconds(long startNanoseconds) {
+    return TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanoseconds);
   }
 
-  private static void pause() {
+  private static void sleepPollInterval() {
     try {
-      Thread.sleep(TICK_MILLISECONDS);
+      Thread.sleep(POLL_INTERVAL_MILLISECONDS);
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
       throw new FleetException("interrupted", exception);
@@ -120,8 +134,11 @@
   private void awaitCallers(ExecutorService callers) {
     callers.shutdown();
     try {
-      if (!callers.awaitTermination(LAST_CALLS_SECONDS, TimeUnit.SECONDS)) {
-        violations.add("callers still wait " + LAST_CALLS_SECONDS + " s after the load ended");
+      if (!callers.awaitTermination(CALLER_SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        violations.add(
+            "callers were still waiting "
+                + CALLER_SHUTDOWN_TIMEOUT_SECONDS
+                + " s after the load ended");
         callers.shutdownNow();
       }
     } catch (InterruptedException exception) {
@@ -129,7 +146,7 @@
     }
   }
 
-  private UniformRandomProvider generator(int stream) {
+  private UniformRandomProvider createRandom(int stream) {
     return RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1_000 + stream);
   }
 
--- a/fleet/src/main/java/org/agatefield/fleet/soak/Violations.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/Violations.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Gathers broken promises, with the evidence. Safe for use by any thread. */
+/** Collects and prints violated guarantees with their evidence. Thread-safe. */
 final class Violations {
-  private final List<String> found = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
   synchronized void add(String evidence) {
-    found.add(evidence);
+    violations.add(evidence);
     System.out.println("violation: " + evidence);
   }
 
   synchronized int count() {
-    return found.size();
+    return violations.size();
   }
 }
--- a/fleet/src/main/java/org/agatefield/fleet/soak/package-info.java
+++ b/fleet/src/main/java/org/agatefield/fleet/soak/package-info.java
@@ -1,2 +1,2 @@
-/** A long seeded run of a whole fleet under failures, with the promises checked throughout. */
+/** Soak test: runs a whole fleet under a seeded schedule of failures and checks its guarantees. */
 package org.agatefield.fleet.soak;
