--- a/fleet/src/test/java/org/agatefield/fleet/FloodProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/FloodProcessTest.java
@@ -14,19 +14,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A daemon with a heap of 128 MB bounds what it holds, whatever callers send. */
+/**
+ * Checks that a daemon with a heap of 128 MB bounds the memory of request bodies and survives a
+ * flood of large requests.
+ */
 class FloodProcessTest {
   private static final int FLOOD_REQUESTS = 150;
   private static final int PROMPT_CHARACTERS = 5_000_000;
-  private static final int CONNECTION_ENDED = -2;
-  private static final int REFUSED_WITHOUT_PROOF = -1;
-  private static final Set<Integer> ALLOWED = Set.of(200, 503, CONNECTION_ENDED);
+  private static final int CONNECTION_FAILED = -2;
+  private static final int REFUSED_WITHOUT_NOT_RUN = -1;
+  private static final Set<Integer> ALLOWED_STATUSES = Set.of(200, 503, CONNECTION_FAILED);
   private static final String NOT_RUN = "\"run\":\"no\"";
 
   @TempDir Path directory;
 
   @Test
-  void daemonUnderFarMoreBodiesThanItsHeapAnswersOrRefusesAsNotRunAndGoesOn() {
+  void daemonFloodedBeyondItsHeapAnswersOrRefusesAsNotRunAndStaysAlive() {
     try (LocalFleet fleet = new LocalFleet(FleetPlans.latency(), directory)) {
       fleet.startAll();
       List<CompletableFuture<Integer>> statuses = new ArrayList<>();
@@ -39,8 +42,8 @@
               .map(CompletableFuture::join)
               .collect(Collectors.groupingBy(status -> status, Collectors.counting()));
       assertTrue(fleet.process("entry-1").isAlive(), fleet.process("entry-1").logTail());
-      assertTrue(ALLOWED.containsAll(counts.keySet()), counts.toString());
-      System.out.println("flood: " + counts);
+      assertTrue(ALLOWED_STATUSES.containsAll(counts.keySet()), counts.toString());
+      System.out.println("flood, answers by status: " + counts);
       assertEquals(200, fleet.complete("entry-1", "summaries", "after the flood").status());
     }
   }
@@ -54,11 +57,11 @@
             "/v1/chat/completions",
             Map.of("Content-Type", "application/json"),
             body)
-        .handle((answer, failure) -> failure == null ? statusOf(answer) : CONNECTION_ENDED);
+        .handle((answer, failure) -> failure == null ? statusOf(answer) : CONNECTION_FAILED);
   }
 
   private static int statusOf(FleetHttp.Answer answer) {
     boolean refusedWithoutProof = answer.status() != 200 && !answer.text().contains(NOT_RUN);
-    return refusedWithoutProof ? REFUSED_WITHOUT_PROOF : answer.status();
+    return refusedWithoutProof ? REFUSED_WITHOUT_NOT_RUN : answer.status();
   }
 }
--- a/fleet/src/test/java/org/agatefield/fleet/HookedDaemonMain.java
+++ b/fleet/src/test/java/org/agatefield/fleet/HookedDaemonMain.java
@@ -11,16 +11,16 @@
 import org.agatefield.daemon.core.FailPointHook;
 
 /**
- * A daemon that ends or waits the first time it reaches a named step.
+ * Runs a daemon that halts or blocks the first time it reaches a given fail point.
  *
- * <p>System properties say where and how: {@code test.step} is a name of {@link FailPoint}; {@code
- * test.subject} is part of the step's subject; {@code test.action} is {@code halt} or {@code wait};
- * {@code test.marker} is a file that is made when the step is reached. A waiting daemon goes on
- * once a file of that name with {@code .go} behind it exists.
+ * <p>Configured by system properties: {@code test.step} is the name of a {@link FailPoint}; {@code
+ * test.subject} is a substring of the step's subject; {@code test.action} is {@code halt} or {@code
+ * wait}; {@code test.marker} is a file that is created when the step is reached. A blocked daemon
+ * resumes once a file with the marker's name and the suffix {@code .go} exists.
  */
 public final class HookedDaemonMain {
   private static final long POLL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(10);
-  private static final int HALT_CODE = 99;
+  private static final int HALT_EXIT_CODE = 99;
 
   private HookedDaemonMain() {}
 
@@ -39,22 +39,22 @@
     return (step, actualSubject) -> {
       boolean matches = step == wanted && actualSubject.contains(subject);
       if (matches && reached.compareAndSet(false, true)) {
-        act(marker, halt);
+        haltOrBlock(marker, halt);
       }
     };
   }
 
-  private static void act(Path marker, boolean halt) {
+  private static void haltOrBlock(Path marker, boolean halt) {
     try {
       Files.createFile(marker);
     } catch (IOException exception) {
-      throw new IllegalStateException("the marker cannot be made: " + marker, exception);
+      throw new IllegalStateException("cannot create marker file " + marker, exception);
     }
     if (halt) {
-      Runtime.getRuntime().halt(HALT_CODE);
+      Runtime.getRuntime().halt(HALT_EXIT_CODE);
     }
-    Path go = Path.of(marker + ".go");
-    while (!Files.exists(go)) {
+    Path resumeFile = Path.of(marker + ".go");
+    while (!Files.exists(resumeFile)) {
       LockSupport.parkNanos(POLL_NANOSECONDS);
     }
   }
--- a/fleet/src/test/java/org/agatefield/fleet/LocalFleetTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/LocalFleetTest.java
@@ -11,14 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Shows the harness itself: the whole path over processes, and a failure at a named step. */
+/**
+ * Tests the harness itself: a request through all processes, and a daemon halted at a fail point.
+ */
 class LocalFleetTest {
   private static final String BOOKING = "{\"visit\":\"school 12\"}";
 
   @TempDir Path directory;
 
   @Test
-  void instanceThatEndsAfterItsClaimNeverLetsTheBookingRunTwice() {
+  void bookingWhoseInstanceHaltsAfterTheClaimIsNotExecutedOnRetry() {
     StepFault fault = StepFault.halt(FailPoint.AFTER_CLAIM, "", directory.resolve("claimed"));
     try (LocalFleet fleet = new LocalFleet(FleetPlans.quickstart(), directory)) {
       fleet.withDaemonMain(HookedDaemonMain.class.getName());
@@ -37,7 +39,7 @@
       fleet.process("entry-1").awaitExit(20);
       assertEquals(true, lost.handle((answer, failure) -> failure != null).join());
       LocalFleet.await(
-          "the retry gets a final answer",
+          "retry is answered with status 504",
           Duration.ofSeconds(90),
           () -> book(fleet, "entry-2").status() == 504);
       assertEquals("0", executions(fleet));
--- a/fleet/src/test/java/org/agatefield/fleet/PackageDependencyTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/PackageDependencyTest.java
@@ -10,13 +10,13 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Requirement REQ-LAYERS: dependencies point one way, from the binaries down to the model. */
+/** Requirement REQ-LAYERS: dependencies point only downwards, from the binaries to the model. */
 class PackageDependencyTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("org.agatefield");
-  private static final String[] DECISIONS = {
+  private static final String[] DECISION_PACKAGES = {
     "org.agatefield.lease..",
     "org.agatefield.membership..",
     "org.agatefield.idempotency..",
@@ -27,14 +27,14 @@
   };
 
   @Test
-  void layersPointDown() {
+  void layersDependOnlyOnLowerLayers() {
     ArchRule rule =
         layeredArchitecture()
             .consideringOnlyDependenciesInAnyPackage("org.agatefield..")
             .layer("Model")
             .definedBy("org.agatefield.model..")
             .layer("Decisions")
-            .definedBy(DECISIONS)
+            .definedBy(DECISION_PACKAGES)
             .layer("Clients")
             .definedBy(
                 "org.agatefield.store..",
@@ -63,11 +63,11 @@
   }
 
   @Test
-  void decisionsDoNoInputOrOutput() {
+  void decisionsPerformNoInputOrOutput() {
     ArchRule rule =
         ArchRuleDefinition.noClasses()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
@@ -85,7 +85,7 @@
     ArchRule rule =
         ArchRuleDefinition.noClasses()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .dependOnClassesThat()
             .haveFullyQualifiedName("java.lang.Thread");
@@ -97,7 +97,7 @@
     ArchRule rule =
         ArchRuleDefinition.noClasses()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void noProcessIsStartedButByTheFleetTool() {
+  void onlyTheFleetToolStartsProcesses() {
     ArchRule rule =
         ArchRuleDefinition.noClasses()
             .that()
--- a/fleet/src/test/java/org/agatefield/fleet/StepFault.java
+++ b/fleet/src/test/java/org/agatefield/fleet/StepFault.java
@@ -7,9 +7,11 @@
 import java.util.List;
 import org.agatefield.daemon.core.FailPoint;
 
-/** A failure at a named step of a daemon that runs {@link HookedDaemonMain}. For one thread. */
+/**
+ * Injects a fault at a fail point of a daemon that runs {@link HookedDaemonMain}. Not thread-safe.
+ */
 public final class StepFault {
-  private static final Duration REACH_LIMIT = Duration.ofSeconds(60);
+  private static final Duration REACH_TIMEOUT = Duration.ofSeconds(60);
 
   private final FailPoint step;
   private final String subject;
@@ -23,17 +25,17 @@
     this.marker = marker;
   }
 
-  /** The daemon ends at the step, as if killed. */
+  /** Returns a fault that halts the daemon at the step, as if killed. */
   public static StepFault halt(FailPoint step, String subject, Path marker) {
     return new StepFault(step, subject, "halt", marker);
   }
 
-  /** The daemon waits at the step, as if paused, until {@link #goOn()}. */
+  /** Returns a fault that blocks the daemon at the step, as if paused, until {@link #goOn()}. */
   public static StepFault hold(FailPoint step, String subject, Path marker) {
     return new StepFault(step, subject, "wait", marker);
   }
 
-  /** Returns the options of the daemon's virtual machine. */
+  /** Returns the JVM options that configure the fault in the daemon. */
   public List<String> options() {
     return List.of(
         "-Dtest.step=" + step.name(),
@@ -49,15 +51,15 @@
 
   /** Waits until the daemon has reached the step. */
   public void awaitReached() {
-    LocalFleet.await("step " + step + " is reached", REACH_LIMIT, this::isReached);
+    LocalFleet.await("step " + step + " is reached", REACH_TIMEOUT, this::isReached);
   }
 
-  /** Lets a daemon that waits go on. */
+  /** Resumes a daemon that is blocked at the step. */
   public void goOn() {
     try {
       Files.createFile(Path.of(marker + ".go"));
     } catch (IOException exception) {
-      throw new FleetException("the marker cannot be made", exception);
+      throw new FleetException("cannot create the file that resumes the daemon", exception);
     }
   }
 }
--- a/fleet/src/test/java/org/agatefield/fleet/TlsFiles.java
+++ b/fleet/src/test/java/org/agatefield/fleet/TlsFiles.java
@@ -9,16 +9,16 @@
 import java.util.Base64;
 
 /**
- * A certificate for the loopback address and its key, as PEM files, made by the Java installation's
- * keytool. Immutable.
+ * Holds PEM files with a self-signed certificate for the loopback address and its private key,
+ * generated with the keytool of the running JDK. Immutable.
  *
- * @param certificate the certificate, which is its own authority
- * @param key the private key
+ * @param certificate file with the self-signed certificate, which also serves as the authority
+ * @param key file with the private key
  */
 record TlsFiles(Path certificate, Path key) {
   private static final String ALIAS = "test";
   private static final char[] PASSWORD = "test-password".toCharArray();
-  private static final int LINE_LENGTH = 64;
+  private static final int PEM_LINE_LENGTH = 64;
 
   static TlsFiles create(Path directory) throws IOException, GeneralSecurityException {
     Path store = directory.resolve("test.p12");
@@ -30,8 +30,8 @@
     byte[] key = keyStore.getKey(ALIAS, PASSWORD).getEncoded();
     byte[] certificate = keyStore.getCertificate(ALIAS).getEncoded();
     return new TlsFiles(
-        write(directory.resolve("certificate.pem"), "CERTIFICATE", certificate),
-        write(directory.resolve("key.pem"), "PRIVATE KEY", key));
+        writePem(directory.resolve("certificate.pem"), "CERTIFICATE", certificate),
+        writePem(directory.resolve("key.pem"), "PRIVATE KEY", key));
   }
 
   private static void runKeytool(Path store) throws IOException {
@@ -64,12 +64,12 @@
       }
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted", exception);
+      throw new IOException("interrupted while waiting for keytool", exception);
     }
   }
 
-  private static Path write(Path file, String type, byte[] content) throws IOException {
-    String body = Base64.getMimeEncoder(LINE_LENGTH, new byte[] {'\n'}).encodeToString(content);
+  private static Path writePem(Path file, String type, byte[] content) throws IOException {
+    String body = Base64.getMimeEncoder(PEM_LINE_LENGTH, new byte[] {'\n'}).encodeToString(content);
     return Files.writeString(
         file, "-----BEGIN %s-----\n%s\n-----END %s-----\n".formatted(type, body, type));
   }
--- a/fleet/src/test/java/org/agatefield/fleet/TlsProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/TlsProcessTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requirement REQ-SETTINGS: with a table {@code tls} every listener of a daemon speaks TLS. */
+/** Requirement REQ-SETTINGS: with a table {@code tls} every listener of a daemon uses TLS. */
 class TlsProcessTest {
-  private static final Duration LIMIT = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
   @TempDir Path directory;
 
   @Test
-  void daemonsWithCertificatesFindEachOtherAndAnswerCallersOverTls() throws Exception {
+  void daemonsWithCertificatesDiscoverEachOtherAndAcceptOnlyTls() throws Exception {
     TlsFiles files = TlsFiles.create(directory);
     Vertx vertx = Vertx.vertx();
     try (LocalFleet fleet = new LocalFleet(FleetPlans.quickstart(), directory)) {
@@ -37,8 +37,8 @@
       fleet.startDaemon("entry-2");
       fleet.startDaemon("entry-3");
       LocalFleet.await(
-          "entry-1 knows three members over TLS",
-          LIMIT,
+          "entry-1 reports three members over TLS",
+          TIMEOUT,
           () -> metrics(vertx, files, fleet).contains("agatefield_peers_members 3.0"));
       FleetException refused =
           assertThrows(
@@ -51,11 +51,11 @@
   }
 
   @Test
-  void daemonWithoutUsableCertificateFilesEndsAndSaysWhy() {
+  void daemonWithoutUsableCertificateFilesExitsWithAnErrorAboutTls() {
     try (LocalFleet fleet = new LocalFleet(FleetPlans.quickstart(), directory)) {
       fleet.withTables("[tls]\ncertificate = \"none\"\nkey = \"none\"\nauthority = \"none\"\n");
       ManagedProcess daemon = fleet.startDaemon("entry-1");
-      assertEquals(3, daemon.awaitExit(LIMIT.toSeconds()));
+      assertEquals(3, daemon.awaitExit(TIMEOUT.toSeconds()));
       assertTrue(daemon.logText().contains("tls"), daemon.logText());
     }
   }
--- a/fleet/src/test/java/org/agatefield/fleet/answers/AnswerFleet.java
+++ b/fleet/src/test/java/org/agatefield/fleet/answers/AnswerFleet.java
@@ -20,7 +20,7 @@
 import org.agatefield.model.FailureDomain;
 import org.agatefield.standin.engine.TokenSequence;
 
-/** Two daemons before two engines that both hold one model, and one booking service. */
+/** Runs daemons, two engines that both have one model loaded, and one booking service. */
 final class AnswerFleet implements AutoCloseable {
   static final Duration GENEROUS = Duration.ofSeconds(90);
   static final String MODEL = "quotes";
@@ -28,7 +28,7 @@
   static final List<String> ENGINES = List.of("engine-1", "engine-2");
 
   private static final String VERSION = MODEL + "@v1";
-  private static final int PROBES = 16;
+  private static final int PROBE_REQUESTS = 16;
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   final LocalFleet fleet;
@@ -40,14 +40,17 @@
     fleet.plan().instances().forEach(entry -> awaitBothReplicasUsed(entry.name()));
   }
 
-  /** Waits until a daemon knows both replicas, which it learns a while after they are loaded. */
+  /**
+   * Waits until a daemon routes to both replicas, which happens some time after they are loaded.
+   */
   void awaitBothReplicasUsed(String daemon) {
-    LocalFleet.await(daemon + " uses both replicas", GENEROUS, () -> usesBothReplicas(daemon));
+    LocalFleet.await(
+        daemon + " routes to both replicas", GENEROUS, () -> routesToBothReplicas(daemon));
   }
 
-  private boolean usesBothReplicas(String daemon) {
+  private boolean routesToBothReplicas(String daemon) {
     List<StreamConnection> streams =
-        IntStream.range(0, PROBES)
+        IntStream.range(0, PROBE_REQUESTS)
             .mapToObj(number -> stream(daemon, "probe-" + number, 5).startReading())
             .toList();
     List<String> requests = streams.stream().map(stream -> stream.readToEnd().requestId()).toList();
@@ -76,12 +79,12 @@
         new FleetPlan.Weights(5, 6, 50));
   }
 
-  /** Waits until an engine holds the model. */
+  /** Waits until an engine has loaded the model. */
   void awaitHolding(String engine) {
-    LocalFleet.await(engine + " holds the model", GENEROUS, () -> isHolding(engine));
+    LocalFleet.await(engine + " has loaded the model", GENEROUS, () -> hasLoadedModel(engine));
   }
 
-  private boolean isHolding(String engine) {
+  private boolean hasLoadedModel(String engine) {
     try {
       return read(engine, "/load").path("versions").toString().contains(VERSION);
     } catch (FleetException exception) {
@@ -103,7 +106,7 @@
     return fleet.call(HttpMethod.POST, fleet.address(daemon), "/v1/chat/completions", all, body);
   }
 
-  /** Returns the answer that a whole stream has, but for the request's identifier. */
+  /** Returns the answer expected from a complete stream. */
   static ReadAnswer expected(String requestId, String prompt, int tokens) {
     String text = TokenSequence.of(VERSION, prompt + "\n", tokens).text();
     String checksum = TokenSequence.checksum(prompt + "\n", text);
@@ -127,16 +130,16 @@
     try {
       return MAPPER.readTree(json);
     } catch (IOException exception) {
-      throw new FleetException("not JSON: " + json, exception);
+      throw new FleetException("answer is not JSON: " + json, exception);
     }
   }
 
-  /** Returns the sum of a count over the engines' own records. */
+  /** Returns the sum of a counter over all engines, as the engines report it. */
   int engineCount(String field) {
     return ENGINES.stream().mapToInt(name -> read(name, "/violations").path(field).asInt()).sum();
   }
 
-  /** Returns whether any engine began a generation for a request. */
+  /** Returns whether any engine started a generation for a request. */
   boolean wasExecuted(String requestId) {
     return ENGINES.stream().anyMatch(engine -> executedAny(engine, List.of(requestId)));
   }
--- a/fleet/src/test/java/org/agatefield/fleet/answers/ShutdownProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/answers/ShutdownProcessTest.java
@@ -24,15 +24,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requirements REQ-GRACEFUL and REQ-LEAVING over processes. */
+/** Tests requirements REQ-GRACEFUL and REQ-LEAVING with separate processes. */
 class ShutdownProcessTest {
   private static final int DAEMONS = 3;
   private static final int CALLERS = 9;
   private static final int EXIT_SECONDS = 120;
   private static final int LEAVING_PROBES = 20;
 
-  /** Callers stop using an answer this long before it runs out, as the machine may be busy. */
-  private static final Duration CAUTION = Duration.ofSeconds(2);
+  /**
+   * Callers stop using an entry address this long before it expires, as the machine may be busy.
+   */
+  private static final Duration EXPIRY_MARGIN = Duration.ofSeconds(2);
 
   @TempDir static Path directory;
   private static AnswerFleet answers;
@@ -53,10 +55,13 @@
     load.start();
     for (int number = 1; number <= DAEMONS; number++) {
       String daemon = "entry-" + number;
-      int before = load.whole.get();
-      LocalFleet.await("load", GENEROUS, () -> load.whole.get() > before + CALLERS);
+      int before = load.completeAnswers.get();
+      LocalFleet.await(
+          "further answers under load",
+          GENEROUS,
+          () -> load.completeAnswers.get() > before + CALLERS);
       StreamConnection running = answers.stream(daemon, "long-" + number, 2_000).startReading();
-      LocalFleet.await("tokens come", GENEROUS, () -> !running.answer().text().isEmpty());
+      LocalFleet.await("tokens arrive", GENEROUS, () -> !running.answer().text().isEmpty());
       answers.fleet.process(daemon).terminate();
       ReadAnswer read = running.readToEnd();
       assertEquals(AnswerFleet.expected(read.requestId(), "long-" + number, 2_000), read);
@@ -69,27 +74,28 @@
   }
 
   @Test
-  void leavingUpstreamGetsNoNewWork() {
+  void leavingUpstreamReceivesNoNewRequests() {
     answers.fleet.markLeaving("engine-2");
-    LocalFleet.await("no request reaches engine-2", GENEROUS, () -> startsDuringProbes() == 0);
-    int afterwards = 0;
+    LocalFleet.await(
+        "no request reaches engine-2", GENEROUS, () -> generationStartsDuringProbes() == 0);
+    int startsAfterLeaving = 0;
     for (int round = 0; round < 5; round++) {
-      afterwards += startsDuringProbes();
+      startsAfterLeaving += generationStartsDuringProbes();
     }
-    assertEquals(0, afterwards);
+    assertEquals(0, startsAfterLeaving);
   }
 
-  private static int startsDuringProbes() {
-    int before = starts();
+  private static int generationStartsDuringProbes() {
+    int before = countGenerationStarts();
     for (int probe = 0; probe < LEAVING_PROBES; probe++) {
       String daemon = "entry-" + (1 + probe % DAEMONS);
       ReadAnswer read = answers.stream(daemon, "probe-" + probe, 3).readToEnd();
       assertTrue(read.done(), read::toString);
     }
-    return starts() - before;
+    return countGenerationStarts() - before;
   }
 
-  private static int starts() {
+  private static int countGenerationStarts() {
     return answers.read("engine-2", "/violations").path("generationStarts").asInt();
   }
 
@@ -100,10 +106,13 @@
         daemon + " serves", GENEROUS, () -> answers.stream(daemon, "ready", 2).readToEnd().done());
   }
 
-  /** Callers that ask for an entry address, keep the answer, and send streams there. */
+  /**
+   * Generates load: each caller requests an entry address, caches it for its time to live and sends
+   * streamed requests to it.
+   */
   private static final class Load {
     private final Queue<String> failures = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger whole = new AtomicInteger();
+    private final AtomicInteger completeAnswers = new AtomicInteger();
     private final List<Thread> callers = new ArrayList<>();
     private volatile boolean stopped;
 
@@ -131,22 +140,22 @@
       int turn = caller;
       while (!stopped) {
         turn++;
-        long asked = System.nanoTime();
-        JsonNode entry = askForEntry("entry-" + (1 + turn % DAEMONS));
+        long requestedAt = System.nanoTime();
+        JsonNode entry = fetchEntry("entry-" + (1 + turn % DAEMONS));
         if (entry == null) {
           continue;
         }
         Address address = Address.parse(entry.path("addresses").path(0).asText());
         Duration timeToLive = Duration.ofSeconds(entry.path("timeToLiveSeconds").asInt());
-        long until = asked + timeToLive.minus(CAUTION).toNanos();
+        long until = requestedAt + timeToLive.minus(EXPIRY_MARGIN).toNanos();
         while (!stopped && System.nanoTime() < until) {
           send(address, "caller-" + caller + "-" + turn);
         }
       }
     }
 
-    /** Asks any instance that answers; those that have ended do not. */
-    private static JsonNode askForEntry(String daemon) {
+    /** Returns the entry from an instance, or null if it does not answer, as while it restarts. */
+    private static JsonNode fetchEntry(String daemon) {
       try {
         FleetHttp.Answer answer =
             answers.fleet.call(
@@ -162,7 +171,7 @@
       try (StreamConnection stream = answers.connect(address, prompt, tokens)) {
         ReadAnswer read = stream.readToEnd();
         if (read.equals(AnswerFleet.expected(read.requestId(), prompt, tokens))) {
-          whole.incrementAndGet();
+          completeAnswers.incrementAndGet();
         } else {
           failures.add(address + " " + read);
         }
--- a/fleet/src/test/java/org/agatefield/fleet/answers/StreamConnection.java
+++ b/fleet/src/test/java/org/agatefield/fleet/answers/StreamConnection.java
@@ -12,9 +12,10 @@
 import org.agatefield.model.Address;
 
 /**
- * One streamed request on a connection of its own, read by a thread only when it is told to.
+ * Sends one streamed request on its own connection and reads the answer in a thread, which starts
+ * only on {@link #startReading()} or {@link #readToEnd()}, so that tests can act as slow readers.
  *
- * <p>Safe for use by any thread.
+ * <p>Thread-safe.
  */
 final class StreamConnection implements AutoCloseable {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -25,7 +26,7 @@
   private final Thread reader = new Thread(this::read, "stream-reader");
   private volatile boolean ended;
 
-  /** Sends a request; nothing is read yet. */
+  /** Connects and sends the request without reading the answer. */
   StreamConnection(Address daemon, String body) {
     String head =
         "POST /v1/chat/completions HTTP/1.1\r\nHost: agatefield\r\nConnection: close\r\n"
@@ -38,17 +39,17 @@
       socket.setSoTimeout(TIMEOUT_MILLISECONDS);
       socket.getOutputStream().write((head + body).getBytes(StandardCharsets.UTF_8));
     } catch (IOException exception) {
-      throw new FleetException("no connection to " + daemon, exception);
+      throw new FleetException("cannot connect to " + daemon, exception);
     }
   }
 
-  /** Begins to read. */
+  /** Starts the thread that reads the answer. */
   StreamConnection startReading() {
     reader.start();
     return this;
   }
 
-  /** Reads to the end and returns what came. */
+  /** Reads until the connection ends and returns the answer received. */
   ReadAnswer readToEnd() {
     try {
       if (reader.getState() == Thread.State.NEW) {
@@ -57,19 +58,21 @@
       reader.join();
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
-      throw new FleetException("interrupted", exception);
+      throw new FleetException("interrupted while reading the answer", exception);
     }
     return answer();
   }
 
-  /** Returns what has come so far. */
+  /** Returns the answer received so far. */
   ReadAnswer answer() {
-    String all;
+    String response;
     synchronized (received) {
-      all = received.toString(StandardCharsets.UTF_8);
+      response = received.toString(StandardCharsets.UTF_8);
     }
-    int body = all.indexOf("\r\n\r\n");
-    return body < 0 ? new ReadAnswer("", "", "", "", false) : parse(all, all.substring(body));
+    int body = response.indexOf("\r\n\r\n");
+    return body < 0
+        ? new ReadAnswer("", "", "", "", false)
+        : parse(response, response.substring(body));
   }
 
   boolean isEnded() {
@@ -81,7 +84,7 @@
     try {
       socket.close();
     } catch (IOException exception) {
-      throw new FleetException("the connection cannot be closed", exception);
+      throw new FleetException("cannot close the connection", exception);
     }
   }
 
@@ -97,15 +100,16 @@
         length = input.read(buffer);
       }
     } catch (IOException exception) {
-      // A cut connection ends the answer; what came counts.
+      // A broken connection ends the answer; the bytes received so far are evaluated.
     }
     ended = true;
   }
 
-  private static ReadAnswer parse(String all, String body) {
+  private static ReadAnswer parse(String response, String body) {
     StringBuilder text = new StringBuilder();
     String checksum = "";
-    String error = all.startsWith("HTTP/1.1 200") ? "" : all.lines().findFirst().orElse("");
+    String error =
+        response.startsWith("HTTP/1.1 200") ? "" : response.lines().findFirst().orElse("");
     boolean done = false;
     for (String line : body.lines().filter(each -> each.startsWith("data: ")).toList()) {
       String data = line.substring("data: ".length());
@@ -113,16 +117,17 @@
         done = true;
         continue;
       }
-      JsonNode part = json(data);
-      text.append(part.path("choices").path(0).path("delta").path("content").asText(""));
-      checksum = part.path("checksum").asText(checksum);
-      error = part.path("error").path("code").asText(error);
+      JsonNode chunk = json(data);
+      text.append(chunk.path("choices").path(0).path("delta").path("content").asText(""));
+      checksum = chunk.path("checksum").asText(checksum);
+      error = chunk.path("error").path("code").asText(error);
     }
-    return new ReadAnswer(requestId(all), text.toString(), checksum, error, done);
+    return new ReadAnswer(requestId(response), text.toString(), checksum, error, done);
   }
 
-  private static String requestId(String all) {
-    return all.lines()
+  private static String requestId(String response) {
+    return response
+        .lines()
         .filter(line -> line.regionMatches(true, 0, "x-request-id: ", 0, 14))
         .map(line -> line.substring(14).trim())
         .findFirst()
@@ -138,13 +143,13 @@
   }
 
   /**
-   * What was read of an answer. Immutable.
+   * The received part of an answer. Immutable.
    *
    * @param requestId the daemon's identifier of the request
-   * @param text the tokens, joined
-   * @param checksum the engine's checksum; empty if the answer did not end
+   * @param text the concatenated tokens
+   * @param checksum the engine's checksum; empty if the answer is incomplete
    * @param error the code of the error, or the status line; empty if there was none
-   * @param done whether the end marker came
+   * @param done whether the end marker was received
    */
   record ReadAnswer(String requestId, String text, String checksum, String error, boolean done) {}
 }
--- a/fleet/src/test/java/org/agatefield/fleet/answers/WholeAnswerProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/answers/WholeAnswerProcessTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requirements REQ-WHOLE-ANSWER and REQ-TRUE-REFUSAL over processes, by the upstreams' counts. */
+/**
+ * Tests requirements REQ-WHOLE-ANSWER and REQ-TRUE-REFUSAL with separate processes, against the
+ * counters of the upstreams.
+ */
 class WholeAnswerProcessTest {
   @TempDir static Path directory;
   private static AnswerFleet answers;
@@ -37,21 +40,21 @@
   }
 
   @AfterEach
-  void heal() {
+  void clearFaults() {
     AnswerFleet.ENGINES.forEach(engine -> answers.faults(engine, "{}"));
     answers.faults("booking-1", "{}");
     assertEquals(0, answers.violations());
   }
 
   @Test
-  void engineKilledInTheMiddleOfStreamsCutsNone() {
+  void streamsContinueToTheEndWhenTheirEngineIsKilled() {
     List<StreamConnection> streams = new ArrayList<>();
     for (int number = 0; number < 12; number++) {
       String daemon = AnswerFleet.DAEMONS.get(number % 2);
       streams.add(answers.stream(daemon, "killed-" + number, 500).startReading());
     }
     LocalFleet.await(
-        "all streams run",
+        "all streams have received tokens",
         GENEROUS,
         () -> streams.stream().noneMatch(stream -> stream.answer().text().isEmpty()));
     answers.fleet.process("engine-1").kill();
@@ -67,12 +70,12 @@
   }
 
   @Test
-  void crossedAnswersReachNobody() {
+  void crossedAnswersAreNotDelivered() {
     answers.faults("engine-1", "{\"crossAnswers\":true}");
-    List<CompletableFuture<FleetHttp.Answer>> asked = new ArrayList<>();
+    List<CompletableFuture<FleetHttp.Answer>> pending = new ArrayList<>();
     for (int number = 0; number < 80; number++) {
       String body = ModelRequests.chat(AnswerFleet.MODEL, "crossed-" + number, 30, false);
-      asked.add(
+      pending.add(
           answers
               .fleet
               .http()
@@ -83,12 +86,12 @@
                   Map.of("Content-Type", "application/json"),
                   body));
     }
-    int whole = 0;
-    for (int number = 0; number < asked.size(); number++) {
-      FleetHttp.Answer answer = FleetHttp.await(asked.get(number), GENEROUS);
+    int complete = 0;
+    for (int number = 0; number < pending.size(); number++) {
+      FleetHttp.Answer answer = FleetHttp.await(pending.get(number), GENEROUS);
       JsonNode json = AnswerFleet.parse(answer.text());
       if (answer.status() == 200) {
-        whole++;
+        complete++;
         assertEquals(
             AnswerFleet.expected("", "crossed-" + number, 30).text(),
             json.path("choices").path(0).path("message").path("content").asText());
@@ -96,15 +99,15 @@
         assertTrue(json.has("run"), answer.text());
       }
     }
-    assertTrue(whole > 0);
+    assertTrue(complete > 0);
     boolean crossed =
         AnswerFleet.DAEMONS.stream()
             .anyMatch(name -> answers.fleet.process(name).logText().contains("instead of"));
-    assertTrue(crossed, "the fault crossed no answer");
+    assertTrue(crossed, "no daemon logged a crossed answer");
   }
 
   @Test
-  void slowReaderGetsTheWholeAnswerAndHoldsNobodyElseBack() {
+  void slowReaderGetsTheWholeAnswerWithoutDelayingOthers() {
     try (StreamConnection slow = answers.stream("entry-1", "slow", 3_000)) {
       ReadAnswer fast = answers.stream("entry-1", "fast", 3_000).readToEnd();
       assertEquals(AnswerFleet.expected(fast.requestId(), "fast", 3_000), fast);
@@ -117,14 +120,14 @@
   void callerThatGoesCancelsItsWork() {
     int before = answers.engineCount("cancelledGenerations");
     try (StreamConnection stream = answers.stream("entry-2", "gone", 5_000).startReading()) {
-      LocalFleet.await("tokens come", GENEROUS, () -> !stream.answer().text().isEmpty());
+      LocalFleet.await("tokens arrive", GENEROUS, () -> !stream.answer().text().isEmpty());
     }
     LocalFleet.await(
-        "the engine gives up",
+        "the engine cancels the generation",
         GENEROUS,
         () -> answers.engineCount("cancelledGenerations") > before);
     LocalFleet.await(
-        "nothing runs",
+        "no engine has a running request",
         GENEROUS,
         () ->
             AnswerFleet.ENGINES.stream()
@@ -133,7 +136,7 @@
   }
 
   @Test
-  void bodiesOfSeveralMegabytesGoBothWays() {
+  void bodiesOfSeveralMegabytesPassInBothDirections() {
     String prompt = "y".repeat(5_000_000);
     FleetHttp.Answer answer =
         answers.ask(
@@ -184,7 +187,7 @@
 
   @Test
   void refusalsThatSayNotRunAreTrueUnderFlood() {
-    List<CompletableFuture<FleetHttp.Answer>> asked = new ArrayList<>();
+    List<CompletableFuture<FleetHttp.Answer>> pending = new ArrayList<>();
     for (int number = 0; number < 400; number++) {
       Map<String, String> headers =
           Map.of(
@@ -192,7 +195,7 @@
               "application/json",
               "X-Request-Deadline-Ms",
               Integer.toString(50 + number * 5));
-      asked.add(
+      pending.add(
           answers
               .fleet
               .http()
@@ -204,7 +207,7 @@
                   ModelRequests.chat(AnswerFleet.MODEL, "flood-" + number, 200, false)));
     }
     List<String> notRun = new ArrayList<>();
-    for (CompletableFuture<FleetHttp.Answer> each : asked) {
+    for (CompletableFuture<FleetHttp.Answer> each : pending) {
       FleetHttp.Answer answer = FleetHttp.await(each, GENEROUS);
       if (answer.status() != 200
           && AnswerFleet.parse(answer.text()).path("run").asText().equals("no")) {
@@ -215,9 +218,10 @@
         AnswerFleet.ENGINES.stream()
             .map(name -> answers.read(name, "/violations").path("executions").toString())
             .reduce("", String::concat);
-    List<String> lies = notRun.stream().filter(id -> executions.contains("\"" + id + ".")).toList();
-    assertTrue(!notRun.isEmpty(), "the flood was refused nothing");
-    assertEquals(List.of(), lies);
+    List<String> falseRefusals =
+        notRun.stream().filter(id -> executions.contains("\"" + id + ".")).toList();
+    assertTrue(!notRun.isEmpty(), "no request of the flood was refused as not run");
+    assertEquals(List.of(), falseRefusals);
   }
 
   private static FleetHttp.Answer book(String daemon, Map<String, String> headers) {
--- a/fleet/src/test/java/org/agatefield/fleet/calls/AtMostOnceProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/AtMostOnceProcessTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL over processes; the service counts the
- * executions by key.
+ * Tests requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL with separate processes; the service
+ * counts executions by key.
  */
 class AtMostOnceProcessTest {
   private static final String BODY = "{\"visit\":1}";
@@ -45,14 +45,14 @@
   }
 
   @AfterEach
-  void heal() {
+  void clearFaults() {
     bookings.storeFaults("{}");
     bookings.serviceFaults("{}");
     assertEquals(0, bookings.violations());
   }
 
   @Test
-  void killedBeforeTheClaimRunsOnRetry() {
+  void callWhoseInstanceDiesBeforeTheClaimRunsOnRetry() {
     StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_CLAIM, "k-before", true);
     bookings.send("entry-1", "k-before", BODY, Map.of());
     fault.awaitReached();
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void killedAfterTheClaimIsNeverRun() {
+  void callWhoseInstanceDiesAfterTheClaimIsNeverRun() {
     StepFault fault = bookings.restartWith("entry-1", FailPoint.AFTER_CLAIM, "k-claimed", true);
     bookings.send("entry-1", "k-claimed", BODY, Map.of());
     fault.awaitReached();
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void killedAfterSendingIsAnsweredByAskingTheService() {
+  void callWhoseInstanceDiesAfterSendingGetsItsOutcomeFromTheService() {
     bookings.restart("entry-1");
     bookings.serviceFaults("{\"answerLateMilliseconds\":600000,\"calls\":1}");
     bookings.send("entry-1", "k-sent", BODY, Map.of());
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void killedBeforeTheOutcomeIsWrittenIsAnsweredByAskingTheService() {
+  void callWhoseInstanceDiesBeforeWritingTheOutcomeGetsItFromTheService() {
     StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_OUTCOME, "k-outcome", true);
     bookings.send("entry-1", "k-outcome", BODY, Map.of());
     fault.awaitReached();
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void lostAnswerToTheClaimAndDeathAfterSendingRunOnce() {
+  void callRunsOnceWhenTheClaimAnswerIsLostAndTheInstanceDiesAfterSending() {
     bookings.restart("entry-1");
     bookings.storeFaults("{\"loseAnswersAfterEffect\":1,\"kind\":\"claims\",\"verb\":\"create\"}");
     bookings.serviceFaults("{\"answerLateMilliseconds\":600000,\"calls\":1}");
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void deathBeforeTheOutcomeWhileTheStoreIsDownRunsOnce() {
+  void callRunsOnceWhenItsInstanceDiesBeforeTheOutcomeWhileTheStoreIsDown() {
     StepFault fault = bookings.restartWith("entry-1", FailPoint.BEFORE_OUTCOME, "k-both", false);
     bookings.send("entry-1", "k-both", BODY, Map.of());
     fault.awaitReached();
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void lostAnswerToTheClaimStillRunsOnce() {
+  void callRunsOnceWhenTheClaimAnswerIsLost() {
     bookings.storeFaults("{\"loseAnswersAfterEffect\":1,\"kind\":\"claims\",\"verb\":\"create\"}");
     FleetHttp.Answer first = bookings.bookUntilDone("entry-2", "k-lost");
     assertEquals(first.text(), bookings.bookUntilDone("entry-3", "k-lost").text());
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void pausedBetweenClaimAndSendThenWokenRunsOnce() {
+  void callPausedBetweenClaimAndSendRunsOnceAfterResume() {
     StepFault fault = bookings.restartWith("entry-1", FailPoint.AFTER_CLAIM, "k-paused", false);
     Map<String, String> longDeadline = Map.of("X-Request-Deadline-Ms", "60000");
     bookings.send("entry-1", "k-paused", BODY, longDeadline);
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void pausedPastItsDeadlineSendsNothingAndRetryRuns() {
+  void callPausedPastItsDeadlineIsNotSentAndRunsOnRetry() {
     StepFault fault = bookings.restartWith("entry-1", FailPoint.AFTER_CLAIM, "k-expired", false);
     bookings.send("entry-1", "k-expired", BODY, Map.of("X-Request-Deadline-Ms", "300"));
     fault.awaitReached();
@@ -174,7 +174,7 @@
   }
 
   @Test
-  void storeDownAtTheFirstReadIsRefusedWithTimeToComeBack() {
+  void callIsRefusedWithRetryAfterWhenTheStoreIsDownAtTheFirstRead() {
     bookings.storeFaults("{\"down\":true}");
     FleetHttp.Answer refused = bookings.book("entry-2", "k-down");
     assertEquals("store_unavailable", codeOf(refused));
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void storeDownBeforeTheClaimIsRefusedAsNotRun() {
+  void callIsRefusedAsNotRunWhenTheStoreIsDownBeforeTheClaim() {
     StepFault fault =
         bookings.restartWith("entry-1", FailPoint.BEFORE_CLAIM, "k-down-claim", false);
     final CompletableFuture<FleetHttp.Answer> caller =
@@ -203,16 +203,16 @@
   }
 
   @Test
-  void storeDownAfterTheClaimRunsAndIsRecordedLater() {
-    downAt(FailPoint.AFTER_CLAIM, "k-down-send");
+  void callRunsAndIsRecordedLaterWhenTheStoreIsDownAfterTheClaim() {
+    checkStoreDownAt(FailPoint.AFTER_CLAIM, "k-down-send");
   }
 
   @Test
-  void storeDownBeforeTheOutcomeIsRecordedLater() {
-    downAt(FailPoint.BEFORE_OUTCOME, "k-down-outcome");
+  void outcomeIsRecordedLaterWhenTheStoreIsDownBeforeItIsWritten() {
+    checkStoreDownAt(FailPoint.BEFORE_OUTCOME, "k-down-outcome");
   }
 
-  private static void downAt(FailPoint step, String key) {
+  private static void checkStoreDownAt(FailPoint step, String key) {
     StepFault fault = bookings.restartWith("entry-1", step, key, false);
     final CompletableFuture<FleetHttp.Answer> caller =
         bookings.send("entry-1", key, BODY, Map.of());
@@ -229,7 +229,7 @@
   }
 
   @Test
-  void refusedConnectionIsNotRunAndRunsOnRetry() {
+  void callWhoseConnectionIsRefusedIsNotRunAndRunsOnRetry() {
     bookings.fleet.process("booking-1").kill();
     FleetHttp.Answer refused = bookings.book("entry-2", "k-refused");
     assertEquals(503, refused.status());
@@ -241,7 +241,7 @@
   }
 
   @Test
-  void resetAfterTheExecutionIsAnsweredByAskingTheService() {
+  void callResetAfterItsExecutionGetsItsOutcomeFromTheService() {
     bookings.serviceFaults("{\"resetAfterExecution\":true,\"calls\":1}");
     FleetHttp.Answer first = bookings.bookUntilDone("entry-2", "k-reset-after");
     assertEquals(first.text(), bookings.bookUntilDone("entry-3", "k-reset-after").text());
@@ -249,7 +249,7 @@
   }
 
   @Test
-  void resetBeforeTheExecutionIsNeverRunAgain() {
+  void callResetBeforeItsExecutionIsNeverRunAgain() {
     bookings.serviceFaults("{\"resetBeforeExecution\":true,\"calls\":1}");
     FleetHttp.Answer first = bookings.book("entry-2", "k-reset-before");
     assertEquals("unknown", runOf(first));
@@ -259,7 +259,7 @@
   }
 
   @Test
-  void answerThatComesAfterTheDeadlineIsGivenToTheRetry() {
+  void answerReceivedAfterTheDeadlineIsReturnedToTheRetry() {
     bookings.serviceFaults("{\"answerLateMilliseconds\":2000,\"calls\":1}");
     FleetHttp.Answer late =
         FleetHttp.await(
@@ -282,22 +282,22 @@
   }
 
   @Test
-  void retriesToAllInstancesAtOnceWithoutPauseRunOnce() {
+  void concurrentRetriesToAllInstancesRunOnce() {
     bookings.serviceFaults("{\"slowMilliseconds\":300}");
     for (int round = 0; round < 5; round++) {
       String key = "k-storm-" + round;
       Set<String> answers = new HashSet<>();
       while (answers.isEmpty() || answers.contains("")) {
         answers.clear();
-        answers.addAll(stormOnce(key));
+        answers.addAll(sendConcurrentRetries(key));
       }
       assertEquals(1, answers.size());
       assertEquals(1, bookings.executions(key));
     }
   }
 
-  /** Sends 60 retries at once and returns the answers, an empty one for each that is not done. */
-  private static List<String> stormOnce(String key) {
+  /** Sends 60 concurrent retries and returns their answers, empty for calls that are not done. */
+  private static List<String> sendConcurrentRetries(String key) {
     List<CompletableFuture<FleetHttp.Answer>> calls = new ArrayList<>();
     for (int retry = 0; retry < 60; retry++) {
       calls.add(bookings.send("entry-" + (1 + retry % 3), key, BODY, Map.of()));
--- a/fleet/src/test/java/org/agatefield/fleet/calls/BookingFleet.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/BookingFleet.java
@@ -18,7 +18,7 @@
 import org.agatefield.fleet.StepFault;
 import org.agatefield.model.FailureDomain;
 
-/** Three daemons before a store and one booking service, as processes. For use by one thread. */
+/** Runs three daemons, a store and a booking service as processes. Not thread-safe. */
 final class BookingFleet implements AutoCloseable {
   static final Duration GENEROUS = Duration.ofSeconds(90);
 
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Starts a daemon anew with a fault at a step that concerns a key. */
+  /** Restarts a daemon with a fault that is triggered at a step for a key. */
   StepFault restartWith(String daemon, FailPoint step, String key, boolean halt) {
     Path marker = directory.resolve("marker-" + faults++);
     StepFault fault = halt ? StepFault.halt(step, key, marker) : StepFault.hold(step, key, marker);
@@ -61,7 +61,7 @@
     return fault;
   }
 
-  /** Starts a daemon anew without faults. */
+  /** Restarts a daemon without faults. */
   void restart(String daemon) {
     restart(daemon, List.of());
   }
@@ -76,7 +76,7 @@
 
   private void awaitBooking(String daemon) {
     LocalFleet.await(
-        daemon + " knows the service",
+        daemon + " routes to the booking service",
         GENEROUS,
         () ->
             fleet
@@ -94,10 +94,10 @@
     return FleetHttp.await(send(daemon, key, "{\"visit\":1}", Map.of()), GENEROUS);
   }
 
-  /** Sends a booking and does not wait. */
+  /** Sends a booking without waiting for the answer. */
   CompletableFuture<FleetHttp.Answer> send(
-      String daemon, String key, String body, Map<String, String> more) {
-    Map<String, String> headers = new HashMap<>(more);
+      String daemon, String key, String body, Map<String, String> extraHeaders) {
+    Map<String, String> headers = new HashMap<>(extraHeaders);
     headers.put("Idempotency-Key", key);
     return fleet
         .http()
@@ -117,7 +117,7 @@
     return last[0];
   }
 
-  /** Retries until the answer has a status. */
+  /** Retries until the answer has the given status, and returns that answer. */
   FleetHttp.Answer bookUntil(String daemon, String key, int status) {
     FleetHttp.Answer[] last = new FleetHttp.Answer[1];
     LocalFleet.await(
@@ -130,12 +130,12 @@
     return last[0];
   }
 
-  /** A booking that is learnt by asking the service has status 200, a direct one 201. */
+  /** Status 201 answers a direct booking, 200 one whose outcome was queried from the service. */
   static boolean isDone(FleetHttp.Answer answer) {
     return answer.status() == 200 || answer.status() == 201;
   }
 
-  /** Returns what a refusal says about whether the call was run. */
+  /** Returns the field of a refusal that tells whether the call was run. */
   static String runOf(FleetHttp.Answer answer) {
     return json(answer).findPath("run").asText();
   }
@@ -145,7 +145,7 @@
     return json(answer).findPath("code").asText();
   }
 
-  /** Returns how often the service executed calls with a key. */
+  /** Returns the number of executions that the service counted for a key. */
   int executions(String key) {
     FleetHttp.Answer counts =
         fleet.call(HttpMethod.GET, fleet.address(SERVICE), "/executions", Map.of(), "");
@@ -160,13 +160,13 @@
     fleet.call(HttpMethod.POST, fleet.address("store"), "/faults", Map.of(), faults);
   }
 
-  /** Returns the calls that the store has counted. */
+  /** Returns the call counters of the store. */
   JsonNode storeCalls() {
     return json(fleet.call(HttpMethod.GET, fleet.address("store"), "/counts", Map.of(), ""))
         .path("calls");
   }
 
-  /** Returns how many violations of promises the daemons have counted. */
+  /** Returns the number of invariant metrics above zero, over all running daemons. */
   long violations() {
     long sum = 0;
     for (FleetPlan.Entry entry : fleet.plan().instances()) {
@@ -190,7 +190,7 @@
     try {
       return MAPPER.readTree(answer.text());
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException("no JSON: " + answer.text(), exception);
+      throw new IllegalStateException("answer is not JSON: " + answer.text(), exception);
     }
   }
 
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallCostTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallCostTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What calls that must not repeat cost the store, and how long they are kept there. */
+/** Tests the number of store operations per non-repeatable call and the retention of claims. */
 class CallCostTest {
-  private static final Duration LONG = Duration.ofSeconds(60);
+  private static final Duration LONG_DEADLINE = Duration.ofSeconds(60);
   private static final Duration GENEROUS = Duration.ofSeconds(60);
 
   private final CallsBench bench = new CallsBench();
@@ -43,10 +43,11 @@
   }
 
   private CompletableFuture<ServiceResponse> book(StoreBackedCallExecutor instance, String key) {
-    return bench.call(instance, key, "body", LONG, bench.sender(key, this::answerAtOnce));
+    return bench.call(
+        instance, key, "body", LONG_DEADLINE, bench.sender(key, this::answerImmediately));
   }
 
-  private CompletableFuture<ServiceResponse> answerAtOnce(int execution) {
+  private CompletableFuture<ServiceResponse> answerImmediately(int execution) {
     return CompletableFuture.completedFuture(exchange("execution " + execution));
   }
 
@@ -56,8 +57,8 @@
 
   @Test
   void expiredKeyIsRefused() {
-    String old = "018bcfe5-6800-7000-8000-000000000000";
-    AgatefieldException failure = failureOf(book(instance("a"), old));
+    String expiredKey = "018bcfe5-6800-7000-8000-000000000000";
+    AgatefieldException failure = failureOf(book(instance("a"), expiredKey));
     assertEquals(ErrorKind.KEY_EXPIRED, failure.kind());
     assertEquals(Map.of(), bench.executions);
   }
@@ -76,22 +77,22 @@
   }
 
   @Test
-  void claimIsSweptAfterItsRetentionByTheHolderOfTheLease() {
+  void leaseHolderDeletesClaimsAfterTheirRetention() {
     CallLimits limits = CallsBench.shortLimits(Duration.ofMillis(1));
     StoreBackedCallExecutor first =
         bench.newInstance("a", FailPointHook.NONE, OutcomeQuery.NONE, limits);
-    PlainService quick = new PlainService("booking", List.of(), Optional.empty(), 1);
+    PlainService service = new PlainService("booking", List.of(), Optional.empty(), 1);
     for (int index = 0; index < 30; index++) {
       String key = "key-" + index;
       bench
           .call(
               first,
-              quick,
+              service,
               key,
               "body",
-              LONG,
+              LONG_DEADLINE,
               new CallsBench.FreeDispatcher(),
-              bench.sender(key, this::answerAtOnce))
+              bench.sender(key, this::answerImmediately))
           .join();
     }
     await().atMost(GENEROUS).until(() -> first.runningCalls() == 0);
@@ -128,11 +129,17 @@
   }
 
   @Test
-  void keptAnswerIsNotGivenToAnotherBody() {
+  void storedAnswerIsNotReturnedForAnotherBody() {
     StoreBackedCallExecutor first = instance("a");
     book(first, "key").join();
     AgatefieldException failure =
-        failureOf(bench.call(first, "key", "other", LONG, bench.sender("key", this::answerAtOnce)));
+        failureOf(
+            bench.call(
+                first,
+                "key",
+                "other",
+                LONG_DEADLINE,
+                bench.sender("key", this::answerImmediately)));
     assertEquals(ErrorKind.KEY_REUSED, failure.kind());
   }
 }
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsBench.java
@@ -46,9 +46,9 @@
 import org.agatefield.store.HttpObjectStore;
 
 /**
- * Several instances' calls that must not repeat, over one stand-in store, in one process.
+ * Runs the call executors of several instances against one stand-in store in one process.
  *
- * <p>The service is a function that counts executions by key. Safe for use by any thread.
+ * <p>The service is a function that counts executions by key. Thread-safe.
  */
 final class CallsBench implements AutoCloseable {
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(3);
@@ -87,7 +87,7 @@
     http("POST", "/faults", faults);
   }
 
-  /** Returns the store's counts, as JSON. */
+  /** Returns the store's call counters, as JSON. */
   String storeCounts() {
     return http("GET", "/counts", "");
   }
@@ -96,7 +96,7 @@
     return closer.register(new HttpObjectStore(vertx, storeAddress, storeTimeout));
   }
 
-  /** Returns limits with short times, so that tests need not wait long. */
+  /** Returns limits with short durations to keep tests fast. */
   static CallLimits shortLimits(Duration retention) {
     return new CallLimits(
         retention,
@@ -125,7 +125,9 @@
             new MetricRegistry()));
   }
 
-  /** Returns a sender that executes the call and answers when {@code answer} says so. */
+  /**
+   * Returns a sender that counts the execution and completes with the future from {@code answer}.
+   */
   NonRepeatableCall.Sender sender(
       String key, Function<Integer, CompletableFuture<ServiceResponse>> answer) {
     return upstream -> answer.apply(executions.merge(key, 1, Integer::sum));
@@ -221,7 +223,7 @@
     }
   }
 
-  /** Admits everything; gives no second upstream unless there are some left. */
+  /** Admits every request; each acquisition uses up one of a fixed number of upstreams. */
   static final class FreeDispatcher implements Dispatcher {
     private final AtomicLong attempts = new AtomicLong();
     private final int upstreams;
--- a/fleet/src/test/java/org/agatefield/fleet/calls/CallsUnderFaultsTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/CallsUnderFaultsTest.java
@@ -32,13 +32,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Partners that retry without pause at several instances, while the store and the service fail in a
- * seeded order. Interleavings differ from run to run; what is asserted holds for each.
+ * Checks that calls run at most once while partners retry without pause at several instances and
+ * the store and the service fail in a seeded order. Interleavings differ from run to run; the
+ * assertions hold for all of them.
  */
 class CallsUnderFaultsTest {
   private static final int PARTNERS = 6;
   private static final int KEYS_PER_PARTNER = 20;
-  private static final int TRIES = 100_000;
+  private static final int MAX_ATTEMPTS = 100_000;
   private static final Duration STORE_TIMEOUT = Duration.ofMillis(200);
   private static final Duration REMAINING = Duration.ofSeconds(2);
   private static final long SEED = 42;
@@ -84,7 +85,7 @@
     assertEquals(Map.of(), repeated);
     assertEquals(List.of(), bench.violations);
     assertEquals(List.of(), falseRefusals);
-    answers.forEach((key, given) -> assertEquals(1, given.size(), key));
+    answers.forEach((key, distinctAnswers) -> assertEquals(1, distinctAnswers.size(), key));
     int keys = PARTNERS * KEYS_PER_PARTNER;
     System.out.println(
         "keys=" + keys + " executed=" + bench.executions.size() + " answered=" + answers.size());
@@ -109,30 +110,30 @@
   private void bookAll(String partner, UniformRandomProvider random) {
     for (int number = 0; number < KEYS_PER_PARTNER; number++) {
       String key = partner + "-" + number;
-      boolean over = false;
-      for (int attempt = 0; attempt < TRIES && !over; attempt++) {
-        over = bookAtOnce(key, 1 + random.nextInt(3), random);
+      boolean completed = false;
+      for (int attempt = 0; attempt < MAX_ATTEMPTS && !completed; attempt++) {
+        completed = bookConcurrently(key, 1 + random.nextInt(3), random);
       }
     }
   }
 
-  /** Sends a call to some instances at once; returns whether one gave a final outcome. */
-  private boolean bookAtOnce(String key, int copies, UniformRandomProvider random) {
+  /** Sends concurrent copies of a call to instances; returns whether one got a final outcome. */
+  private boolean bookConcurrently(String key, int copies, UniformRandomProvider random) {
     boolean executedBefore = bench.executions.containsKey(key);
     List<CompletableFuture<ServiceResponse>> calls = new ArrayList<>();
     for (int copy = 0; copy < copies; copy++) {
       calls.add(send(key, random));
     }
-    boolean over = false;
+    boolean completed = false;
     for (CompletableFuture<ServiceResponse> call : calls) {
-      over |= isFinal(key, call, executedBefore);
+      completed |= isFinal(key, call, executedBefore);
     }
-    return over;
+    return completed;
   }
 
   private CompletableFuture<ServiceResponse> send(String key, UniformRandomProvider random) {
     StoreBackedCallExecutor instance = instances.get(random.nextInt(instances.size()));
-    int fate = random.nextInt(10);
+    int serviceFault = random.nextInt(10);
     return bench.call(
         instance,
         new PlainService("booking", List.of(), Optional.empty(), 1_000),
@@ -140,23 +141,23 @@
         "body",
         REMAINING,
         new CallsBench.FreeDispatcher(2),
-        upstream -> execute(key, fate));
+        upstream -> execute(key, serviceFault));
   }
 
-  private CompletableFuture<ServiceResponse> execute(String key, int fate) {
-    if (fate == 0) {
+  private CompletableFuture<ServiceResponse> execute(String key, int serviceFault) {
+    if (serviceFault == 0) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(ErrorKind.NO_UPSTREAM, "connection refused"));
     }
     int execution = bench.executions.merge(key, 1, Integer::sum);
     ServiceResponse answer = exchange(key + " execution " + execution);
-    if (fate == 1) {
+    if (serviceFault == 1) {
       return CompletableFuture.failedFuture(
           new AgatefieldException(ErrorKind.UPSTREAM_FAILED, "connection reset"));
     }
-    long lateMilliseconds = fate == 2 ? 3_000 : fate * 10L;
+    long delayMilliseconds = serviceFault == 2 ? 3_000 : serviceFault * 10L;
     return CompletableFuture.supplyAsync(
-        () -> answer, CompletableFuture.delayedExecutor(lateMilliseconds, TimeUnit.MILLISECONDS));
+        () -> answer, CompletableFuture.delayedExecutor(delayMilliseconds, TimeUnit.MILLISECONDS));
   }
 
   private boolean isFinal(
--- a/fleet/src/test/java/org/agatefield/fleet/calls/StoreBackedCallExecutorTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/calls/StoreBackedCallExecutorTest.java
@@ -27,9 +27,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL over the HTTP stand-in store. */
+/** Tests requirements REQ-AT-MOST-ONCE and REQ-TRUE-REFUSAL with the HTTP stand-in store. */
 class StoreBackedCallExecutorTest {
-  private static final Duration LONG = Duration.ofSeconds(60);
+  private static final Duration LONG_DEADLINE = Duration.ofSeconds(60);
   private static final Duration GENEROUS = Duration.ofSeconds(60);
 
   private final CallsBench bench = new CallsBench();
@@ -45,10 +45,11 @@
   }
 
   private CompletableFuture<ServiceResponse> book(StoreBackedCallExecutor instance, String key) {
-    return bench.call(instance, key, "body", LONG, bench.sender(key, this::answerAtOnce));
+    return bench.call(
+        instance, key, "body", LONG_DEADLINE, bench.sender(key, this::answerImmediately));
   }
 
-  private CompletableFuture<ServiceResponse> answerAtOnce(int execution) {
+  private CompletableFuture<ServiceResponse> answerImmediately(int execution) {
     return CompletableFuture.completedFuture(exchange("execution " + execution));
   }
 
@@ -66,7 +67,7 @@
   }
 
   @Test
-  void retriesToAllInstancesAtOnceRunOnce() {
+  void concurrentRetriesToAllInstancesRunOnce() {
     List<CompletableFuture<ServiceResponse>> answers = new ArrayList<>();
     for (int index = 0; index < 8; index++) {
       StoreBackedCallExecutor instance = instance("instance-" + index);
@@ -86,13 +87,17 @@
     AgatefieldException failure =
         failureOf(
             bench.call(
-                instance("b"), "key", "other", LONG, bench.sender("key", this::answerAtOnce)));
+                instance("b"),
+                "key",
+                "other",
+                LONG_DEADLINE,
+                bench.sender("key", this::answerImmediately)));
     assertEquals(ErrorKind.KEY_REUSED, failure.kind());
     assertEquals(Map.of("key", 1), bench.executions);
   }
 
   @Test
-  void answerOfSeveralMegabytesIsKeptWhole() {
+  void answerOfSeveralMegabytesIsStoredCompletely() {
     String large = "x".repeat(3_000_000) + "end";
     StoreBackedCallExecutor first = instance("a");
     bench
@@ -100,7 +105,7 @@
             first,
             "key",
             "body",
-            LONG,
+            LONG_DEADLINE,
             bench.sender("key", count -> CompletableFuture.completedFuture(exchange(large))))
         .join();
     ServiceResponse again = book(instance("b"), "key").join();
@@ -126,7 +131,7 @@
   }
 
   @Test
-  void claimThatTakesEffectLateIsNotSentForAndIsRemoved() {
+  void callWhoseClaimTakesEffectLateIsNotSentAndTheClaimIsDeleted() {
     bench.storeFaults(
         "{\"delayEffectMilliseconds\":6000,\"delayEffectCount\":1,"
             + "\"kind\":\"claims\",\"verb\":\"create\"}");
@@ -140,7 +145,7 @@
   }
 
   @Test
-  void storeDownBeforeTheClaimIsRefusedWithTimeToComeBack() {
+  void callIsRefusedWithRetryAfterWhenTheStoreIsDownBeforeTheClaim() {
     bench.storeFaults("{\"down\":true}");
     StoreBackedCallExecutor first = instance("a");
     AgatefieldException failure = failureOf(book(first, "key"));
@@ -153,11 +158,11 @@
   }
 
   @Test
-  void outcomeIsServedAndKeptWhileTheStoreIsDown() {
+  void outcomeIsServedWhileTheStoreIsDownAndStoredAfterwards() {
     StoreBackedCallExecutor first = instance("a");
     CompletableFuture<ServiceResponse> answer = new CompletableFuture<>();
     final CompletableFuture<ServiceResponse> caller =
-        bench.call(first, "key", "body", LONG, bench.sender("key", count -> answer));
+        bench.call(first, "key", "body", LONG_DEADLINE, bench.sender("key", count -> answer));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     bench.storeFaults("{\"down\":true}");
     answer.complete(exchange("late"));
@@ -171,7 +176,7 @@
   }
 
   @Test
-  void answerThatComesAfterTheCallerHasGoneIsKept() {
+  void answerReceivedAfterTheDeadlineIsStored() {
     StoreBackedCallExecutor first = instance("a");
     CompletableFuture<ServiceResponse> answer = new CompletableFuture<>();
     CompletableFuture<ServiceResponse> caller =
@@ -187,7 +192,12 @@
   @Test
   void callOfDeadInstanceIsNeverRunAgain() {
     StoreBackedCallExecutor first = instance("dead");
-    bench.call(first, "key", "body", LONG, bench.sender("key", count -> new CompletableFuture<>()));
+    bench.call(
+        first,
+        "key",
+        "body",
+        LONG_DEADLINE,
+        bench.sender("key", count -> new CompletableFuture<>()));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     bench.aliveInstances.remove("dead");
     AgatefieldException failure = failureOf(book(instance("b"), "key"));
@@ -196,27 +206,32 @@
   }
 
   @Test
-  void serviceIsAskedForTheOutcomeOfDeadInstance() {
+  void outcomeOfCallOfDeadInstanceIsQueriedFromTheService() {
     StoreBackedCallExecutor first = instance("dead");
-    bench.call(first, "key", "body", LONG, bench.sender("key", count -> new CompletableFuture<>()));
+    bench.call(
+        first,
+        "key",
+        "body",
+        LONG_DEADLINE,
+        bench.sender("key", count -> new CompletableFuture<>()));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     bench.aliveInstances.remove("dead");
     OutcomeQuery query = call -> CompletableFuture.completedFuture(Optional.of(exchange("asked")));
-    StoreBackedCallExecutor asking = bench.newInstance("b", FailPointHook.NONE, query);
+    StoreBackedCallExecutor querying = bench.newInstance("b", FailPointHook.NONE, query);
     PlainService service =
         new PlainService("booking", List.of(), Optional.of("/outcomes/{key}"), 2_000);
-    ServiceResponse learnt =
+    ServiceResponse queried =
         bench
             .call(
-                asking,
+                querying,
                 service,
                 "key",
                 "body",
-                LONG,
+                LONG_DEADLINE,
                 new CallsBench.FreeDispatcher(),
-                bench.sender("key", this::answerAtOnce))
+                bench.sender("key", this::answerImmediately))
             .join();
-    assertEquals(exchange("asked"), learnt);
+    assertEquals(exchange("asked"), queried);
     StoreBackedCallExecutor third = instance("c");
     await()
         .atMost(GENEROUS)
@@ -225,9 +240,9 @@
   }
 
   @Test
-  void callThatRunsElsewhereIsInProgressAfterTheJoinLimit() {
+  void callRunningAtAnotherInstanceIsReportedInProgressAfterTheJoinLimit() {
     CompletableFuture<ServiceResponse> answer = new CompletableFuture<>();
-    bench.call(instance("a"), "key", "body", LONG, bench.sender("key", count -> answer));
+    bench.call(instance("a"), "key", "body", LONG_DEADLINE, bench.sender("key", count -> answer));
     await().atMost(GENEROUS).until(() -> bench.executions.containsKey("key"));
     StoreBackedCallExecutor second = instance("b");
     AgatefieldException failure = failureOf(book(second, "key"));
@@ -247,16 +262,20 @@
     AgatefieldException failure =
         failureOf(
             bench.call(
-                first, "key", "body", LONG, upstream -> CompletableFuture.failedFuture(refused)));
+                first,
+                "key",
+                "body",
+                LONG_DEADLINE,
+                upstream -> CompletableFuture.failedFuture(refused)));
     assertEquals(RunState.NO, failure.runState());
     assertEquals(exchange("execution 1"), book(first, "key").join());
   }
 
   @Test
-  void secondUpstreamIsTriedOnProofThatNothingWasSent() {
+  void secondUpstreamIsTriedWhenTheFirstRefusesTheConnection() {
     AgatefieldException refused =
         new AgatefieldException(ErrorKind.NO_UPSTREAM, "connection refused");
-    List<String> tries = new ArrayList<>();
+    List<String> attempts = new ArrayList<>();
     ServiceResponse answer =
         bench
             .call(
@@ -264,17 +283,17 @@
                 new PlainService("booking", List.of(), Optional.empty(), 2_000),
                 "key",
                 "body",
-                LONG,
+                LONG_DEADLINE,
                 new CallsBench.FreeDispatcher(2),
                 upstream -> {
-                  tries.add("try");
-                  return tries.size() == 1
+                  attempts.add("try");
+                  return attempts.size() == 1
                       ? CompletableFuture.failedFuture(refused)
                       : CompletableFuture.completedFuture(exchange("second"));
                 })
             .join();
     assertEquals(exchange("second"), answer);
-    assertEquals(2, tries.size());
+    assertEquals(2, attempts.size());
   }
 
   @Test
@@ -287,7 +306,7 @@
                 first,
                 "key",
                 "body",
-                LONG,
+                LONG_DEADLINE,
                 bench.sender("key", count -> CompletableFuture.failedFuture(reset))));
     assertEquals(ErrorKind.UPSTREAM_FAILED, failure.kind());
     assertEquals(RunState.UNKNOWN, failure.runState());
@@ -298,26 +317,26 @@
   }
 
   @Test
-  void pauseBetweenClaimAndSendPastTheDeadlineSendsNothing() {
+  void callPausedBetweenClaimAndSendPastItsDeadlineIsNotSent() {
     CompletableFuture<Void> paused = new CompletableFuture<>();
-    CompletableFuture<Void> wake = new CompletableFuture<>();
+    CompletableFuture<Void> resume = new CompletableFuture<>();
     FailPointHook hook =
         (step, subject) -> {
           if (step == FailPoint.AFTER_CLAIM && paused.complete(null)) {
-            wake.join();
+            resume.join();
           }
         };
-    StoreBackedCallExecutor sleeper = bench.newInstance("sleeper", hook, OutcomeQuery.NONE);
+    StoreBackedCallExecutor pausedInstance = bench.newInstance("sleeper", hook, OutcomeQuery.NONE);
     CompletableFuture<ServiceResponse> caller =
         bench.call(
-            sleeper,
+            pausedInstance,
             "key",
             "body",
             Duration.ofMillis(200),
-            bench.sender("key", this::answerAtOnce));
+            bench.sender("key", this::answerImmediately));
     paused.join();
     CompletableFuture.delayedExecutor(400, TimeUnit.MILLISECONDS)
-        .execute(() -> wake.complete(null));
+        .execute(() -> resume.complete(null));
     failureOf(caller);
     await().atMost(GENEROUS).until(() -> bench.storeCounts().contains("\"delete\""));
     assertEquals(Map.of(), bench.executions);
