--- a/fleet/src/test/java/org/agatefield/fleet/placing/ConfigurationFailureTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/ConfigurationFailureTest.java
@@ -21,14 +21,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requirement REQ-CONFIGURATION over processes: operators race, the store fails, daemons pause. */
+/**
+ * Tests requirement REQ-CONFIGURATION with separate processes: concurrent operators, store failures
+ * and paused daemons.
+ */
 class ConfigurationFailureTest {
   private static final FailureDomain DOMAIN = new FailureDomain("kochi", "kochi-a");
 
   @TempDir Path directory;
 
   @Test
-  void oneOfTwoRacingOperatorsIsAcceptedAndTheOtherIsShownTheDifference() {
+  void oneOfTwoConcurrentDocumentsIsAcceptedAndTheOtherRefusedWithTheDifference() {
     try (LocalFleet fleet = startedFleet(StepFault.halt(FailPoint.BEFORE_CLAIM, "", marker()))) {
       FleetStatus status = new FleetStatus(fleet);
       CompletableFuture<FleetHttp.Answer> first = send(fleet, "entry-1", document(fleet, 0, 2));
@@ -43,30 +46,30 @@
           answers.stream().filter(each -> each.status() == 409).findFirst().get().text();
       assertTrue(refused.contains("\"path\" : \"weightStore\""), refused);
       assertTrue(refused.contains("\"run\" : \"no\""), refused);
-      FleetStatus.await("both have generation 1", () -> bothHave(status, 1));
+      FleetStatus.await("both have generation 1", () -> bothHaveGeneration(status, 1));
       assertEquals(List.of(), status.violations());
     }
   }
 
   @Test
-  void documentsWhoseAcceptanceIsNotAnsweredAreRecognisedByReadingBack() {
+  void acceptedDocumentIsReadBackWhenTheStoreAnswerIsLost() {
     try (LocalFleet fleet = startedFleet(StepFault.halt(FailPoint.BEFORE_CLAIM, "", marker()))) {
       FleetStatus status = new FleetStatus(fleet);
       status.faults("store", "{\"loseAnswersAfterEffect\":1,\"kind\":\"configurations\"}");
       assertEquals(200, fleet.apply("entry-1", document(fleet, 0, 2)).status());
       assertEquals(409, fleet.apply("entry-2", document(fleet, 0, 3)).status());
-      FleetStatus.await("both have generation 1", () -> bothHave(status, 1));
+      FleetStatus.await("both have generation 1", () -> bothHaveGeneration(status, 1));
       assertEquals(List.of(), status.violations());
     }
   }
 
   @Test
-  void acceptedDocumentsReachPausedAndNewDaemonsWhileTheStoreIsDown() {
+  void acceptedDocumentsReachResumedAndRestartedDaemonsWhileTheStoreIsDown() {
     StepFault fault = StepFault.hold(FailPoint.AFTER_CONFIGURATION_ACCEPTED, "2", marker());
     try (LocalFleet fleet = startedFleet(fault)) {
       FleetStatus status = new FleetStatus(fleet);
       assertEquals(200, fleet.apply("entry-1", document(fleet, 0, 2)).status());
-      FleetStatus.await("both have generation 1", () -> bothHave(status, 1));
+      FleetStatus.await("both have generation 1", () -> bothHaveGeneration(status, 1));
       fleet.process("entry-2").pause();
       final CompletableFuture<FleetHttp.Answer> answer =
           send(fleet, "entry-1", document(fleet, 1, 3));
@@ -75,19 +78,19 @@
       fault.goOn();
       assertEquals(200, FleetHttp.await(answer, FleetStatus.LIMIT).status());
       fleet.process("entry-2").resume();
-      FleetStatus.await("the paused daemon has generation 2", () -> bothHave(status, 2));
+      FleetStatus.await("the paused daemon has generation 2", () -> bothHaveGeneration(status, 2));
       fleet.process("entry-1").kill();
       fleet.startDaemon("entry-1");
-      FleetStatus.await("the new daemon has generation 2", () -> bothHave(status, 2));
+      FleetStatus.await("the new daemon has generation 2", () -> bothHaveGeneration(status, 2));
       assertEquals(List.of(), status.violations());
     }
   }
 
   @Test
-  void documentsThatCannotFitAreRefusedWithTheArithmetic() {
+  void documentsExceedingTheMemoryOfRunnersAreRefusedWithBothAmounts() {
     try (LocalFleet fleet = startedFleet(StepFault.halt(FailPoint.BEFORE_CLAIM, "", marker()))) {
-      ConfigurationDocument fits = document(fleet, 0, 2);
-      FleetHttp.Answer answer = fleet.apply("entry-1", TestDocuments.withMemory(fits, 50_000));
+      ConfigurationDocument fitting = document(fleet, 0, 2);
+      FleetHttp.Answer answer = fleet.apply("entry-1", TestDocuments.withMemory(fitting, 50_000));
       assertEquals(422, answer.status());
       assertTrue(
           answer.text().contains("all resident versions need 50000 MB and the runners have 10000"),
@@ -100,7 +103,7 @@
     return directory.resolve("marker");
   }
 
-  private static boolean bothHave(FleetStatus status, long generation) {
+  private static boolean bothHaveGeneration(FleetStatus status, long generation) {
     return status.generation("entry-1") == generation && status.generation("entry-2") == generation;
   }
 
@@ -133,7 +136,7 @@
             ConfigurationWriter.toText(document));
   }
 
-  /** Returns the plan's document, told apart by a number. */
+  /** Returns the plan's document with a weight store limit that distinguishes it from others. */
   private static ConfigurationDocument document(LocalFleet fleet, long generation, int number) {
     ConfigurationDocument base = fleet.configuration();
     return new ConfigurationDocument(
--- a/fleet/src/test/java/org/agatefield/fleet/placing/FleetStatus.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/FleetStatus.java
@@ -13,11 +13,11 @@
 import org.agatefield.fleet.FleetPlan;
 import org.agatefield.fleet.LocalFleet;
 
-/** What daemons and engines of a fleet say of themselves. Used from the test's thread. */
+/** Reads the status that daemons and engines of a fleet report. Not thread-safe. */
 final class FleetStatus {
   static final Duration LIMIT = Duration.ofSeconds(120);
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final Map<String, String> OPERATOR =
+  private static final Map<String, String> OPERATOR_HEADERS =
       Map.of("Authorization", "Bearer " + LocalFleet.OPERATOR_TOKEN);
 
   private final LocalFleet fleet;
@@ -38,7 +38,10 @@
     return status(daemon).path("planner").asBoolean();
   }
 
-  /** Returns every overcommit that an engine counted and every violation a daemon counted. */
+  /**
+   * Returns each memory overcommit that an engine reports, and the end of the log of each daemon
+   * that reports invariant violations.
+   */
   List<String> violations() {
     List<String> violations = new ArrayList<>();
     for (FleetPlan.Engine engine : fleet.plan().engines()) {
@@ -58,7 +61,7 @@
     return violations;
   }
 
-  /** Sets the faults of a stand-in. */
+  /** Configures the faults that a stand-in injects. */
   void faults(String name, String json) {
     FleetHttp.Answer answer =
         fleet.call(HttpMethod.POST, fleet.address(name), "/faults", Map.of(), json);
@@ -68,18 +71,18 @@
   }
 
   FleetHttp.Answer get(String name, String path) {
-    return fleet.call(HttpMethod.GET, fleet.address(name), path, OPERATOR, "");
+    return fleet.call(HttpMethod.GET, fleet.address(name), path, OPERATOR_HEADERS, "");
   }
 
   static JsonNode json(FleetHttp.Answer answer) {
     try {
       return MAPPER.readTree(answer.text());
     } catch (JsonProcessingException exception) {
-      throw new FleetException("not JSON: " + answer.text(), exception);
+      throw new FleetException("answer is not JSON: " + answer.text(), exception);
     }
   }
 
-  /** Waits for a condition; a call that fails meanwhile counts as not yet. */
+  /** Waits for a condition; a failed call counts as a condition that does not hold yet. */
   static void await(String what, LocalFleet.Condition condition) {
     LocalFleet.await(
         what,
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementBench.java
@@ -39,9 +39,9 @@
 import org.agatefield.store.ObjectStore;
 import org.agatefield.store.ResolvingObjectStore;
 
-/** A store, engines and planners in one process, for tests. Used from the test's thread. */
+/** Runs a store, engines and planners in the test's process. Not thread-safe. */
 final class PlacementBench implements AutoCloseable {
-  private static final PlacementTimings TERMS =
+  private static final PlacementTimings TIMINGS =
       new PlacementTimings(
           Duration.ofMillis(50),
           Duration.ofSeconds(5),
@@ -80,7 +80,7 @@
             new LedgerDirectory(vertx, store, Duration.ofSeconds(1), keeper, engines).start());
   }
 
-  /** Starts an engine and returns it as configured. */
+  /** Starts a stand-in engine and returns its upstream configuration. */
   Upstream engine(String name, String domain, long memoryMegabytes, boolean checks) {
     int port =
         new EngineStandin(
@@ -100,9 +100,9 @@
         Optional.empty());
   }
 
-  /** Starts a planner that holds the lease whenever {@code token} gives one. */
+  /** Starts a planner that holds the lease while {@code token} supplies a fencing token. */
   PlacementController planner(Supplier<Optional<Long>> token, FailPointHook hook) {
-    PlacementContext parts =
+    PlacementContext context =
         new PlacementContext(
             vertx,
             store,
@@ -115,7 +115,8 @@
             new MetricRegistry(),
             hook);
     return closer.register(
-        new PlacementController(parts, TERMS, new GainPlacement(GainSettings.standard())).start());
+        new PlacementController(context, TIMINGS, new GainPlacement(GainSettings.standard()))
+            .start());
   }
 
   @Override
@@ -123,7 +124,7 @@
     closer.close();
   }
 
-  /** Remembers every violation. */
+  /** Records invariant violations. */
   private final class Monitor implements InvariantMonitor {
     @Override
     public void check(Invariant promise, boolean holds, Supplier<String> evidence) {
@@ -138,7 +139,7 @@
     }
   }
 
-  /** An instance directory with nobody else in it. */
+  /** An instance directory that contains only this instance. */
   private static final class Directory implements InstanceDirectory {
     private final AtomicReference<Set<String>> leaving = new AtomicReference<>(Set.of());
 
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementDutyTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementDutyTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.api.Test;
 
 class PlacementDutyTest {
-  private static final Duration LIMIT = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
   @Test
-  void deployedVersionsBecomeResidentAndReplacedVersionsGo() {
+  void deployedVersionsAreLoadedAndReplacedVersionsAreUnloaded() {
     try (PlacementBench bench = new PlacementBench()) {
       List<Upstream> engines =
           List.of(bench.engine("a", "one", 10_000, true), bench.engine("b", "two", 10_000, false));
       bench.keeper.apply(document(0, engines, List.of("v1"))).join();
       bench.planner(() -> Optional.of(1L), FailPointHook.NONE);
-      await().atMost(LIMIT).until(() -> replicas(bench).equals(Set.of("m@v1 a", "m@v1 b")));
+      await().atMost(TIMEOUT).until(() -> replicas(bench).equals(Set.of("m@v1 a", "m@v1 b")));
       bench.keeper.apply(document(1, engines, List.of("v2"))).join();
-      await().atMost(LIMIT).until(() -> replicas(bench).equals(Set.of("m@v2 a", "m@v2 b")));
+      await().atMost(TIMEOUT).until(() -> replicas(bench).equals(Set.of("m@v2 a", "m@v2 b")));
       assertEquals(List.of(), bench.violations);
     }
   }
--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementFailureTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementFailureTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requirement REQ-MEMORY over processes: planners and engines fail in the middle of moves. */
+/**
+ * Tests requirement REQ-MEMORY with separate processes: planners and engines fail while models are
+ * loaded and unloaded.
+ */
 class PlacementFailureTest {
   private static final FailureDomain FIRST = new FailureDomain("kochi", "kochi-a");
   private static final FailureDomain SECOND = new FailureDomain("kochi", "kochi-b");
@@ -31,20 +34,20 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void plannerThatWakesAfterItsLeaseAndSendsItsOrderOvercommitsNothing(boolean checks) {
+  void delayedOrderOfPlannerWhoseLeaseHasExpiredCausesNoOvercommit(boolean checks) {
     FleetPlan plan = plan(List.of(new FleetPlan.Engine("engine-1", FIRST, 10_000, checks)));
     StepFault fault =
         StepFault.hold(FailPoint.BEFORE_ORDER, "engine-1", directory.resolve("order"));
     try (LocalFleet fleet = fleet(plan)) {
       FleetStatus status = new FleetStatus(fleet);
-      startWithPlanner(fleet, status, fault);
+      startWithFaultyPlanner(fleet, status, fault);
       fleet.apply("entry-2", document(fleet, 0, List.of("old")));
       fault.awaitReached();
       fleet.process("entry-1").pause();
-      FleetStatus.await("the other takes over", () -> status.isPlanner("entry-2"));
+      FleetStatus.await("entry-2 becomes the planner", () -> status.isPlanner("entry-2"));
       fleet.apply("entry-2", document(fleet, 1, List.of("new")));
       FleetStatus.await(
-          "the old version is on its way out",
+          "the old version is being unloaded",
           () -> log(fleet, "entry-2").contains("move=UNLOAD version=old@v1"));
       fleet.process("entry-1").resume();
       fault.goOn();
@@ -56,13 +59,13 @@
   }
 
   @Test
-  void plannerThatEndsBetweenReservationAndOrderIsSucceeded() {
+  void nextPlannerLoadsTheModelAfterPlannerHaltsBetweenReservationAndOrder() {
     FleetPlan plan = plan(List.of(new FleetPlan.Engine("engine-1", FIRST, 10_000, true)));
     StepFault fault =
         StepFault.halt(FailPoint.AFTER_RESERVATION, "engine-1", directory.resolve("reserved"));
     try (LocalFleet fleet = fleet(plan)) {
       FleetStatus status = new FleetStatus(fleet);
-      startWithPlanner(fleet, status, fault);
+      startWithFaultyPlanner(fleet, status, fault);
       fleet.apply("entry-2", document(fleet, 0, List.of("old")));
       fault.awaitReached();
       FleetStatus.await(
@@ -73,7 +76,7 @@
   }
 
   @Test
-  void versionsChangeWhileOrdersAreLateAndDoubledWithoutCuttingTheModelOff() {
+  void modelStaysServedDuringVersionChangesWithDelayedAndDuplicateOrders() {
     FleetPlan plan =
         plan(
             List.of(
@@ -92,7 +95,7 @@
       fleet.apply(
           "entry-1", TestDocuments.withVersion(document(fleet, 1, List.of("old")), "v2", 6_000));
       FleetStatus.await(
-          "the new version serves",
+          "a replica of the new version is listed",
           () -> {
             assertEquals(200, fleet.complete("entry-2", "old", "question").status());
             return status.status("entry-2").path("replicas").toString().contains("old@v2");
@@ -100,7 +103,7 @@
       fleet.apply(
           "entry-1", TestDocuments.withVersion(document(fleet, 2, List.of("old")), "v3", 6_000));
       FleetStatus.await(
-          "the next version alone serves",
+          "only replicas of the next version are listed",
           () -> {
             assertEquals(200, fleet.complete("entry-2", "old", "question").status());
             String replicas = status.status("entry-2").path("replicas").toString();
@@ -111,7 +114,7 @@
   }
 
   @Test
-  void modelsWhoseOnlyRunnerDiesAreLoadedElsewhere() {
+  void modelWhoseOnlyRunnerDiesIsLoadedOnAnotherRunner() {
     FleetPlan plan =
         plan(
             List.of(
@@ -127,7 +130,7 @@
       String holder = status.status("entry-2").path("replicas").path(0).path("upstream").asText();
       fleet.process(holder).kill();
       FleetStatus.await(
-          "the model is served elsewhere",
+          "the model is served by the other engine",
           () -> fleet.complete("entry-2", "old", "question").status() == 200);
       assertEquals(List.of(), status.violations());
     }
@@ -141,15 +144,16 @@
     return new LocalFleet(plan, directory).withLimits(LIMITS);
   }
 
-  /** Starts the fleet so that the first daemon is the planner, with a fault. */
-  private static void startWithPlanner(LocalFleet fleet, FleetStatus status, StepFault fault) {
+  /** Starts the fleet with entry-1 as the planner, in which the fault is injected. */
+  private static void startWithFaultyPlanner(
+      LocalFleet fleet, FleetStatus status, StepFault fault) {
     fleet.withDaemonMain(HookedDaemonMain.class.getName());
     fleet.withDaemonOptions("entry-1", fault.options());
     fleet.startPlatform();
     fleet.startUpstreams();
     fleet.startDaemon("entry-1");
     fleet.awaitAnswering("entry-1");
-    FleetStatus.await("the first daemon is the planner", () -> status.isPlanner("entry-1"));
+    FleetStatus.await("entry-1 is the planner", () -> status.isPlanner("entry-1"));
     fleet.startDaemon("entry-2");
     fleet.awaitAnswering("entry-2");
   }
@@ -169,7 +173,7 @@
         new FleetPlan.Weights(50, 6, 50));
   }
 
-  /** Returns a document with models that each take more than half of an engine of 10,000 MB. */
+  /** Returns a document with models that each need more than half of an engine of 10,000 MB. */
   private static ConfigurationDocument document(
       LocalFleet fleet, long generation, List<String> models) {
     List<Deployment> deployments = new ArrayList<>();
--- a/fleet/src/test/java/org/agatefield/fleet/placing/TestDocuments.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/TestDocuments.java
@@ -5,16 +5,16 @@
 import org.agatefield.model.Deployment;
 import org.agatefield.model.DeploymentVersion;
 
-/** Changes to documents for tests. Has no state. */
+/** Derives variants of configuration documents for tests. Stateless. */
 final class TestDocuments {
   private TestDocuments() {}
 
-  /** Returns the document with each deployment reduced to one version of that size. */
+  /** Returns the document with each deployment reduced to version v1 of the given size. */
   static ConfigurationDocument withMemory(ConfigurationDocument document, long megabytes) {
     return withVersion(document, "v1", megabytes);
   }
 
-  /** Returns the document with each deployment reduced to one version. */
+  /** Returns the document with each deployment reduced to the given version. */
   static ConfigurationDocument withVersion(
       ConfigurationDocument document, String version, long megabytes) {
     List<Deployment> deployments =
--- a/fleet/src/test/java/org/agatefield/fleet/platform/HttpObjectStoreTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/platform/HttpObjectStoreTest.java
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void onlyTheLastSixteenWritesAreNamed() {
+  void objectListsOnlyItsLastSixteenWriteIdentifiers() {
     StoredObject object = store.create(KEY, "w0", content(0)).join();
     for (int write = 1; write <= 20; write++) {
       object = store.update(object, "w" + write, content(write)).join();
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void watchReportsChangesFromItsVersionOn() {
+  void watchReportsChangesAfterItsStartVersion() {
     StoredObject created = store.create(KEY, "w1", content(1)).join();
     Recorder recorder = new Recorder();
     store.watch(ObjectKind.LEDGER, created.resourceVersion(), recorder);
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void watchFromForgottenVersionIsGone() {
+  void watchFromDiscardedVersionEndsWithVersionGone() {
     String version = store.list(ObjectKind.LEDGER).join().resourceVersion();
     store.create(KEY, "w1", content(1)).join();
     bench.faults("{\"forgetChanges\":true}");
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void storeThatIsDownRefusesWithoutEffect() {
+  void writeFailsAsUnavailableWithoutEffectWhenTheStoreIsDown() {
     bench.faults("{\"down\":true}");
     assertEquals(
         Optional.of(StoreFailure.UNAVAILABLE), failureOf(store.create(KEY, "w", content(1))));
@@ -135,33 +135,34 @@
   }
 
   @Test
-  void storeThatCannotBeReachedHasNoEffect() {
-    Address nobody = new Address("127.0.0.1", 1);
+  void writeFailsAsUnavailableWhenTheStoreIsUnreachable() {
+    Address unusedAddress = new Address("127.0.0.1", 1);
     HttpObjectStore unreachable =
-        bench.closer.register(new HttpObjectStore(bench.vertx, nobody, Duration.ofSeconds(5)));
+        bench.closer.register(
+            new HttpObjectStore(bench.vertx, unusedAddress, Duration.ofSeconds(5)));
     assertEquals(
         Optional.of(StoreFailure.UNAVAILABLE), failureOf(unreachable.create(KEY, "w", content(1))));
   }
 
   @Test
-  void closedClientHasNoEffect() {
+  void writeFailsAsUnavailableWhenTheClientIsClosed() {
     store.close();
     assertEquals(
         Optional.of(StoreFailure.UNAVAILABLE), failureOf(store.create(KEY, "w", content(1))));
   }
 
   @Test
-  void storeThatHangsLeavesWriteUnknownAndReadUnavailable() {
+  void hangingStoreMakesWritesUnknownAndReadsUnavailable() {
     bench.faults("{\"hang\":true}");
-    HttpObjectStore impatient = bench.newClient(Duration.ofSeconds(2));
+    HttpObjectStore shortTimeoutClient = bench.newClient(Duration.ofSeconds(2));
     assertEquals(
         Optional.of(StoreFailure.UNKNOWN_RESULT),
-        failureOf(impatient.create(KEY, "w", content(1))));
-    assertEquals(Optional.of(StoreFailure.UNAVAILABLE), failureOf(impatient.get(KEY)));
+        failureOf(shortTimeoutClient.create(KEY, "w", content(1))));
+    assertEquals(Optional.of(StoreFailure.UNAVAILABLE), failureOf(shortTimeoutClient.get(KEY)));
   }
 
   @Test
-  void lostAnswerLeavesWriteUnknownThatTookEffect() {
+  void writeThatTookEffectIsUnknownWhenItsAnswerIsLost() {
     bench.faults("{\"loseAnswersAfterEffect\":1}");
     assertEquals(
         Optional.of(StoreFailure.UNKNOWN_RESULT), failureOf(store.create(KEY, "w", content(1))));
@@ -169,19 +170,19 @@
   }
 
   @Test
-  void lateEffectComesAfterTheWriterGaveUp() {
+  void writeMayTakeEffectAfterItsTimeout() {
     bench.faults("{\"delayEffectMilliseconds\":4000,\"delayEffectCount\":1}");
-    HttpObjectStore impatient = bench.newClient(Duration.ofSeconds(2));
+    HttpObjectStore shortTimeoutClient = bench.newClient(Duration.ofSeconds(2));
     assertEquals(
         Optional.of(StoreFailure.UNKNOWN_RESULT),
-        failureOf(impatient.create(KEY, "w", content(1))));
+        failureOf(shortTimeoutClient.create(KEY, "w", content(1))));
     await()
         .atMost(GENEROUS)
         .ignoreExceptions()
         .until(() -> store.get(KEY).join().content().equals(content(1)));
   }
 
-  /** Records what a watch reports. */
+  /** Records the events of a watch. */
   private static final class Recorder implements WatchListener {
     final List<String> seen = new CopyOnWriteArrayList<>();
 
--- a/fleet/src/test/java/org/agatefield/fleet/platform/LeaseManagerTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/platform/LeaseManagerTest.java
@@ -21,7 +21,7 @@
   private final List<LeaseManager> contenders = new ArrayList<>();
 
   @BeforeEach
-  void contend() {
+  void startContenders() {
     for (String name : List.of("a", "b", "c")) {
       contenders.add(
           bench.closer.register(
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void closedHolderIsFollowedByAnotherWithLargerToken() {
+  void closedHolderIsReplacedByAnotherWithLargerToken() {
     LeaseManager first = holders().get(0);
     long token = token();
     first.close();
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void distrustedGrantComesBackOnlyWithLargerToken() {
+  void leaseIsGrantedWithLargerTokenAfterGrantIsInvalidated() {
     LeaseManager first = holders().get(0);
     final long token = token();
     first.invalidateGrant();
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void grantEndsByItselfWhileTheStoreIsDown() {
+  void grantExpiresWhileTheStoreIsDown() {
     final long token = token();
     bench.faults("{\"down\":true}");
     await().atMost(GENEROUS).until(() -> holders().isEmpty());
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void lostAnswersToRenewalsAreReadBack() {
+  void leaseIsRenewedWhenAnswersToRenewalsAreLost() {
     bench.faults("{\"loseAnswersShare\":0.5,\"seed\":42,\"kind\":\"leases\"}");
     long updates = bench.counts().at("/calls/update/leases").asLong();
     await()
--- a/fleet/src/test/java/org/agatefield/fleet/platform/ObjectInformerTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/platform/ObjectInformerTest.java
@@ -48,7 +48,7 @@
     return store.create(new ObjectKey(ObjectKind.LEDGER, name), "w", content(value)).join();
   }
 
-  private static void awaitKnown(ObjectInformer informer, Map<String, Integer> expected) {
+  private static void awaitValues(ObjectInformer informer, Map<String, Integer> expected) {
     await().atMost(GENEROUS).until(() -> known(informer).equals(expected));
   }
 
@@ -62,51 +62,51 @@
   }
 
   @Test
-  void changesAreLearntByWatch() {
+  void changesAreReceivedByWatch() {
     StoredObject first = create("a", 1);
     ObjectInformer informer = informer(NEVER);
-    awaitKnown(informer, Map.of("a", 1));
+    awaitValues(informer, Map.of("a", 1));
     store.update(first, "w2", content(2)).join();
     StoredObject second = create("b", 3);
-    awaitKnown(informer, Map.of("a", 2, "b", 3));
+    awaitValues(informer, Map.of("a", 2, "b", 3));
     store.delete(second).join();
-    awaitKnown(informer, Map.of("a", 2));
+    awaitValues(informer, Map.of("a", 2));
     assertEquals(1, bench.counts().at("/calls/list/ledgers").asInt());
   }
 
   @Test
-  void watchThatIsCutGoesOnFromWhereItWas() {
+  void brokenWatchResumesFromItsLastVersion() {
     ObjectInformer informer = informer(NEVER);
     create("a", 1);
-    awaitKnown(informer, Map.of("a", 1));
+    awaitValues(informer, Map.of("a", 1));
     bench.faults("{\"cutWatches\":true}");
     create("b", 2);
-    awaitKnown(informer, Map.of("a", 1, "b", 2));
+    awaitValues(informer, Map.of("a", 1, "b", 2));
   }
 
   @Test
-  void forgottenVersionLeadsToNewList() {
+  void discardedVersionCausesNewList() {
     ObjectInformer informer = informer(NEVER);
     create("a", 1);
-    awaitKnown(informer, Map.of("a", 1));
+    awaitValues(informer, Map.of("a", 1));
     bench.faults("{\"down\":true}");
     bench.faults("{\"forgetChanges\":true}");
     create("b", 2);
     bench.faults("{\"forgetChanges\":true,\"cutWatches\":true}");
-    awaitKnown(informer, Map.of("a", 1, "b", 2));
+    awaitValues(informer, Map.of("a", 1, "b", 2));
   }
 
   @Test
-  void pollFindsWhatWatchDoesNotReport() {
+  void pollFindsChangesThatWatchDoesNotReport() {
     ObjectInformer informer = informer(Duration.ofMillis(200));
-    awaitKnown(informer, Map.of());
+    awaitValues(informer, Map.of());
     bench.faults("{\"muteWatches\":true}");
     create("a", 1);
-    awaitKnown(informer, Map.of("a", 1));
+    awaitValues(informer, Map.of("a", 1));
   }
 
   @Test
-  void storeThatComesBackIsNotCalledByAllAtOnce() {
+  void recoveryOfTheStoreCausesFewCallsPerInformer() {
     int count = 40;
     bench.faults("{\"down\":true}");
     List<ObjectInformer> informers = new ArrayList<>();
@@ -117,13 +117,13 @@
     bench.faults("{}");
     final long before = bench.calls();
     create("a", 1);
-    informers.forEach(informer -> awaitKnown(informer, Map.of("a", 1)));
+    informers.forEach(informer -> awaitValues(informer, Map.of("a", 1)));
     long calls = bench.calls() - before;
     assertTrue(calls <= 3 * count, "calls to recover: " + calls);
   }
 
   @Test
-  void instanceListTellsLiveFromLeaving() {
+  void instanceListSeparatesLiveFromLeavingUpstreams() {
     createInstance(instance("entry-1", "ENTRY", "LIVE"));
     createInstance(instance("engine-1", "UPSTREAM", "LIVE"));
     createInstance(instance("engine-2", "UPSTREAM", "LEAVING"));
--- a/fleet/src/test/java/org/agatefield/fleet/platform/StoreBench.java
+++ b/fleet/src/test/java/org/agatefield/fleet/platform/StoreBench.java
@@ -16,10 +16,10 @@
 import org.agatefield.standin.store.StoreServer;
 import org.agatefield.store.HttpObjectStore;
 
-/** A stand-in store in this process and clients of it. For use by one thread. */
+/** Runs a stand-in store in the test's process and creates clients of it. Not thread-safe. */
 final class StoreBench implements AutoCloseable {
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(30);
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(20);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
 
   final Closer closer = new Closer();
   final Vertx vertx = Vertx.vertx();
@@ -46,17 +46,17 @@
   }
 
   void faults(String json) {
-    FleetHttp.await(http.send(HttpMethod.POST, address, "/faults", Map.of(), json), CALL_LIMIT);
+    FleetHttp.await(http.send(HttpMethod.POST, address, "/faults", Map.of(), json), CALL_TIMEOUT);
   }
 
-  /** Returns how many calls the store has counted. */
+  /** Returns the number of calls that the store has counted. */
   long calls() {
     return counts().path("total").asLong();
   }
 
   JsonNode counts() {
     try {
-      String text = FleetHttp.await(http.get(address, "/counts"), CALL_LIMIT).text();
+      String text = FleetHttp.await(http.get(address, "/counts"), CALL_TIMEOUT).text();
       return new ObjectMapper().readTree(text);
     } catch (IOException exception) {
       throw new IllegalStateException(exception);
