--- a/fleet/src/test/java/org/agatefield/fleet/answers/ShutdownProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/answers/ShutdownProcessTest.java
@@ -61,7 +61,7 @@
           GENEROUS,
           () -> load.completeAnswers.get() > before + CALLERS);
       StreamConnection running = answers.stream(daemon, "long-" + number, 2_000).startReading();
-      LocalFleet.await("tokens arrive", GENEROUS, () -> !running.answer().text().isEmpty());
+      LocalFleet.await("tokens come", GENEROUS, () -> !running.answer().text().isEmpty());
       answers.fleet.process(daemon).terminate();
       ReadAnswer read = running.readToEnd();
       assertEquals(AnswerFleet.expected(read.requestId(), "long-" + number, 2_000), read);
--- a/fleet/src/test/java/org/agatefield/fleet/answers/WholeAnswerProcessTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/answers/WholeAnswerProcessTest.java
@@ -120,7 +120,7 @@
   void callerThatGoesCancelsItsWork() {
     int before = answers.engineCount("cancelledGenerations");
     try (StreamConnection stream = answers.stream("entry-2", "gone", 5_000).startReading()) {
-      LocalFleet.await("tokens arrive", GENEROUS, () -> !stream.answer().text().isEmpty());
+      LocalFleet.await("tokens come", GENEROUS, () -> !stream.answer().text().isEmpty());
     }
     LocalFleet.await(
         "the engine cancels the generation",
