--- a/fleet/src/test/java/org/agatefield/fleet/placing/PlacementDutyTest.java
+++ b/fleet/src/test/java/org/agatefield/fleet/placing/PlacementControllerTest.java
@@ -18,7 +18,7 @@
 import org.agatefield.model.WeightStoreLimits;
 import org.junit.jupiter.api.Test;
 
-class PlacementDutyTest {
+class PlacementControllerTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
   @Test
--- a/model/src/main/java/org/agatefield/model/ConfigurationDocument.java
+++ b/model/src/main/java/org/agatefield/model/ConfigurationDocument.java
@@ -14,7 +14,7 @@
  * @param adapters the adapters of the models
  * @param callers the clients that may send requests
  * @param services plain services
- * @param upstreams the back ends
+ * @param upstreams the model runners and service runners
  * @param weightStore the limits of the weight store
  */
 public record ConfigurationDocument(
--- a/model/src/main/java/org/agatefield/model/Upstream.java
+++ b/model/src/main/java/org/agatefield/model/Upstream.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * A configured back end. Immutable.
+ * A model runner or service runner as configured. Immutable.
  *
  * @param name unique among upstreams
  * @param kind the kind of runner
